--- a/src/main/java/cranedeal/Mean.java
+++ b/src/main/java/cranedeal/Mean.java
@@ -3,21 +3,21 @@
 /** An average that forgets: its first samples weigh more, down to a steady gain. */
 final class Mean {
 
-    private final double leastGain;
-    private double value;
-    private double gain = 0.5;
+  private final double leastGain;
+  private double value;
+  private double gain = 0.5;
 
-    Mean(double first, double leastGain) {
-        value = first;
-        this.leastGain = leastGain;
-    }
+  Mean(double first, double leastGain) {
+    value = first;
+    this.leastGain = leastGain;
+  }
 
-    double value() {
-        return value;
-    }
+  double value() {
+    return value;
+  }
 
-    void add(double sample) {
-        value += gain * (sample - value);
-        gain = Math.max(leastGain, gain / (1 + gain));
-    }
+  void add(double sample) {
+    value += gain * (sample - value);
+    gain = Math.max(leastGain, gain / (1 + gain));
+  }
 }
--- a/src/main/java/cranedeal/node/Exchange.java
+++ b/src/main/java/cranedeal/node/Exchange.java
@@ -11,65 +11,73 @@
 /** A request from its arrival until it has its one answer and none of its attempts is out. */
 final class Exchange {
 
-    /** Who waits for the answer. */
-    interface Caller {
+  /** Who waits for the answer. */
+  interface Caller {
 
-        /**
-         * Writes the answer; called once at most. The body is not to be kept; {@code retryAfter} in ms is
-         * when to come back, 0 for no advice.
-         */
-        void answer(HttpResponseStatus status, ByteBuf body, double retryAfter);
+    /**
+     * Writes the answer; called once at most. The body is not to be kept; {@code retryAfter} in ms
+     * is when to come back, 0 for no advice.
+     */
+    void answer(HttpResponseStatus status, ByteBuf body, double retryAfter);
 
-        /** Whether the client has not left yet, by all that the kernel knows now; the node may lag behind. */
-        boolean waits();
-    }
+    /**
+     * Whether the client has not left yet, by all that the kernel knows now; the node may lag
+     * behind.
+     */
+    boolean waits();
+  }
 
-    final long id;
-    final FullHttpRequest request;
-    final double deadline;
-    final List<UpstreamClient.Attempt> attempts = new ArrayList<>(2);
-    /** How many attempts were asked for, and how many of them are out; one not sent is null in the list. */
-    int sends;
-    int running;
-    Future<?> overdue;
-    private Caller caller;
+  final long id;
+  final FullHttpRequest request;
+  final double deadline;
+  final List<UpstreamClient.Attempt> attempts = new ArrayList<>(2);
 
-    Exchange(long id, FullHttpRequest request, double deadline, Caller caller) {
-        this.id = id;
-        this.request = request;
-        this.deadline = deadline;
-        this.caller = caller;
-    }
+  /**
+   * How many attempts were asked for, and how many of them are out; one not sent is null in the
+   * list.
+   */
+  int sends;
 
-    boolean isOpen() {
-        return caller != null;
-    }
+  int running;
+  Future<?> overdue;
+  private Caller caller;
 
-    /** Whether a client waits for an answer and has not left just now, which is yet to be told. */
-    boolean isAwaited() {
-        return caller != null && caller.waits();
-    }
+  Exchange(long id, FullHttpRequest request, double deadline, Caller caller) {
+    this.id = id;
+    this.request = request;
+    this.deadline = deadline;
+    this.caller = caller;
+  }
+
+  boolean isOpen() {
+    return caller != null;
+  }
 
-    /** Answers unless that is done already or nobody waits any more; tells whether it did. */
-    boolean answer(HttpResponseStatus status, ByteBuf body, double retryAfter) {
-        Caller waiting = caller;
-        if (waiting == null) {
-            return false;
-        }
-        close();
-        waiting.answer(status, body, retryAfter);
-        return true;
+  /** Whether a client waits for an answer and has not left just now, which is yet to be told. */
+  boolean isAwaited() {
+    return caller != null && caller.waits();
+  }
+
+  /** Answers unless that is done already or nobody waits any more; tells whether it did. */
+  boolean answer(HttpResponseStatus status, ByteBuf body, double retryAfter) {
+    Caller waiting = caller;
+    if (waiting == null) {
+      return false;
     }
+    close();
+    waiting.answer(status, body, retryAfter);
+    return true;
+  }
 
-    /**
-     * Nobody waits for an answer any more. What waits for its connection goes no further, whether or not the
-     * module may call off what is out.
-     */
-    void close() {
-        caller = null;
-        if (overdue != null) {
-            overdue.cancel(false);
-        }
-        attempts.stream().filter(Objects::nonNull).forEach(UpstreamClient.Attempt::withdraw);
+  /**
+   * Nobody waits for an answer any more. What waits for its connection goes no further, whether or
+   * not the module may call off what is out.
+   */
+  void close() {
+    caller = null;
+    if (overdue != null) {
+      overdue.cancel(false);
     }
+    attempts.stream().filter(Objects::nonNull).forEach(UpstreamClient.Attempt::withdraw);
+  }
 }
--- a/src/main/java/cranedeal/node/Json.java
+++ b/src/main/java/cranedeal/node/Json.java
@@ -12,58 +12,61 @@
 import java.io.InputStream;
 
 /**
- * Reads JSON into a tree. The library's mapper would do so too, but it is made for binding objects and loads
- * hundreds of classes for that, which was a fifth of the processor time that a start takes.
+ * Reads JSON into a tree. The library's mapper would do so too, but it is made for binding objects
+ * and loads hundreds of classes for that, which was a fifth of the processor time that a start
+ * takes.
  */
 final class Json {
 
-    private static final JsonFactory FACTORY = new JsonFactory();
-    private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
+  private static final JsonFactory FACTORY = new JsonFactory();
+  private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
-    private Json() {
-    }
+  private Json() {}
 
-    /** Reads one value and no further; a missing node if there is none. */
-    static JsonNode read(InputStream text) throws IOException {
-        try (JsonParser parser = FACTORY.createParser(text)) {
-            return parser.nextToken() == null ? NODES.missingNode() : value(parser);
-        }
+  /** Reads one value and no further; a missing node if there is none. */
+  static JsonNode read(InputStream text) throws IOException {
+    try (JsonParser parser = FACTORY.createParser(text)) {
+      return parser.nextToken() == null ? NODES.missingNode() : value(parser);
     }
+  }
 
-    /** The value whose first token the parser is at. The parser bounds how deep values may be nested. */
-    private static JsonNode value(JsonParser parser) throws IOException {
-        return switch (parser.currentToken()) {
-            case START_OBJECT -> object(parser);
-            case START_ARRAY -> array(parser);
-            case VALUE_STRING -> NODES.textNode(parser.getText());
-            case VALUE_NUMBER_INT -> switch (parser.getNumberType()) {
-                case INT -> NODES.numberNode(parser.getIntValue());
-                case LONG -> NODES.numberNode(parser.getLongValue());
-                default -> NODES.numberNode(parser.getBigIntegerValue());
-            };
-            case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
-            case VALUE_TRUE -> NODES.booleanNode(true);
-            case VALUE_FALSE -> NODES.booleanNode(false);
-            case VALUE_NULL -> NODES.nullNode();
-            default -> throw new JsonParseException(parser, "unexpected " + parser.currentToken());
-        };
-    }
+  /**
+   * The value whose first token the parser is at. The parser bounds how deep values may be nested.
+   */
+  private static JsonNode value(JsonParser parser) throws IOException {
+    return switch (parser.currentToken()) {
+      case START_OBJECT -> object(parser);
+      case START_ARRAY -> array(parser);
+      case VALUE_STRING -> NODES.textNode(parser.getText());
+      case VALUE_NUMBER_INT ->
+          switch (parser.getNumberType()) {
+            case INT -> NODES.numberNode(parser.getIntValue());
+            case LONG -> NODES.numberNode(parser.getLongValue());
+            default -> NODES.numberNode(parser.getBigIntegerValue());
+          };
+      case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
+      case VALUE_TRUE -> NODES.booleanNode(true);
+      case VALUE_FALSE -> NODES.booleanNode(false);
+      case VALUE_NULL -> NODES.nullNode();
+      default -> throw new JsonParseException(parser, "unexpected " + parser.currentToken());
+    };
+  }
 
-    private static ObjectNode object(JsonParser parser) throws IOException {
-        ObjectNode object = NODES.objectNode();
-        while (parser.nextToken() != JsonToken.END_OBJECT) {
-            String name = parser.currentName();
-            parser.nextToken();
-            object.set(name, value(parser));
-        }
-        return object;
+  private static ObjectNode object(JsonParser parser) throws IOException {
+    ObjectNode object = NODES.objectNode();
+    while (parser.nextToken() != JsonToken.END_OBJECT) {
+      String name = parser.currentName();
+      parser.nextToken();
+      object.set(name, value(parser));
     }
+    return object;
+  }
 
-    private static ArrayNode array(JsonParser parser) throws IOException {
-        ArrayNode array = NODES.arrayNode();
-        while (parser.nextToken() != JsonToken.END_ARRAY) {
-            array.add(value(parser));
-        }
-        return array;
+  private static ArrayNode array(JsonParser parser) throws IOException {
+    ArrayNode array = NODES.arrayNode();
+    while (parser.nextToken() != JsonToken.END_ARRAY) {
+      array.add(value(parser));
     }
+    return array;
+  }
 }
--- a/src/main/java/cranedeal/node/Main.java
+++ b/src/main/java/cranedeal/node/Main.java
@@ -6,100 +6,115 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** The command line: {@code serve} runs one balancer, {@code wire} the same decisions for the simulator. */
+/**
+ * The command line: {@code serve} runs one balancer, {@code wire} the same decisions for the
+ * simulator.
+ */
 public final class Main {
 
-    private Main() {
-    }
+  private Main() {}
 
-    /** Runs the subcommand that the arguments name. */
-    public static void main(String[] args) throws InterruptedException {
-        if (args.length == 1 && args[0].equals("wire")) {
-            cranedeal.wire.Main.main(args);
-        } else if (args.length == 1 && args[0].equals("serve")) {
-            serve();
-        } else {
-            exit("usage: java -jar sablehinge.jar serve | wire", 2);
-        }
+  /** Runs the subcommand that the arguments name. */
+  public static void main(String[] args) throws InterruptedException {
+    if (args.length == 1 && args[0].equals("wire")) {
+      cranedeal.wire.Main.main(args);
+    } else if (args.length == 1 && args[0].equals("serve")) {
+      serve();
+    } else {
+      exit("usage: java -jar sablehinge.jar serve | wire", 2);
     }
+  }
 
-    private static void serve() throws InterruptedException {
-        CompletableFuture<Node> started = new CompletableFuture<>();
-        reloadAtHangup(started);
-        try {
-            Node node = Node.prepare(NodeConfig.read(System.getenv("PROXY_CONFIG")));
-            serve(node);
-            started.complete(node);
-        } catch (ConfigException e) {
-            exit("sablehinge: " + e.getMessage(), 1);
-        } catch (IllegalStateException e) {
-            Node.LOG.info("ends before it has begun to serve");
-        }
-        // The node's own threads are daemons, so that the end of the shutdown hook ends the process.
-        new CountDownLatch(1).await();
+  private static void serve() throws InterruptedException {
+    CompletableFuture<Node> started = new CompletableFuture<>();
+    reloadAtHangup(started);
+    try {
+      Node node = Node.prepare(NodeConfig.read(System.getenv("PROXY_CONFIG")));
+      serve(node);
+      started.complete(node);
+    } catch (ConfigException e) {
+      exit("sablehinge: " + e.getMessage(), 1);
+    } catch (IllegalStateException e) {
+      Node.LOG.info("ends before it has begun to serve");
     }
+    // The node's own threads are daemons, so that the end of the shutdown hook ends the process.
+    new CountDownLatch(1).await();
+  }
 
-    /**
-     * SIGTERM starts the hook, and the virtual machine lives on until the hook returns. It is there ahead of
-     * the first caller; once the virtual machine is to end, it can't be set or taken back any more.
-     */
-    private static void serve(Node node) throws ConfigException, InterruptedException {
-        Thread drain = new Thread(() -> {
-            try {
+  /**
+   * SIGTERM starts the hook, and the virtual machine lives on until the hook returns. It is there
+   * ahead of the first caller; once the virtual machine is to end, it can't be set or taken back
+   * any more.
+   */
+  private static void serve(Node node) throws ConfigException, InterruptedException {
+    Thread drain =
+        new Thread(
+            () -> {
+              try {
                 node.drain();
-            } catch (InterruptedException e) {
+              } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-            }
-        }, "drain");
-        Runtime.getRuntime().addShutdownHook(drain);
-        try {
-            node.serve();
-        } catch (ConfigException e) {
-            Runtime.getRuntime().removeShutdownHook(drain);
-            throw e;
-        }
+              }
+            },
+            "drain");
+    Runtime.getRuntime().addShutdownHook(drain);
+    try {
+      node.serve();
+    } catch (ConfigException e) {
+      Runtime.getRuntime().removeShutdownHook(drain);
+      throw e;
     }
+  }
 
-    /**
-     * SIGHUP would end the virtual machine, also one that has only just begun to serve; here it means that
-     * the configuration was replaced. The file is read off the node's loop, one reading after another, so
-     * that the last signal sees the last file. One that is of no use changes nothing.
-     */
-    private static void reloadAtHangup(CompletableFuture<Node> started) {
-        ExecutorService readings = Executors.newSingleThreadExecutor(work -> {
-            Thread thread = new Thread(work, "reload");
-            thread.setDaemon(true);
-            return thread;
-        });
-        onHangup(() -> readings.execute(() -> {
-            try {
-                Node node = started.join();
-                node.reload(NodeConfig.read(System.getenv("PROXY_CONFIG")));
-            } catch (ConfigException | RuntimeException e) {
-                Node.LOG.warning("the configuration stays as it was: " + e.getMessage());
-            }
-        }));
-    }
+  /**
+   * SIGHUP would end the virtual machine, also one that has only just begun to serve; here it means
+   * that the configuration was replaced. The file is read off the node's loop, one reading after
+   * another, so that the last signal sees the last file. One that is of no use changes nothing.
+   */
+  private static void reloadAtHangup(CompletableFuture<Node> started) {
+    ExecutorService readings =
+        Executors.newSingleThreadExecutor(
+            work -> {
+              Thread thread = new Thread(work, "reload");
+              thread.setDaemon(true);
+              return thread;
+            });
+    onHangup(
+        () ->
+            readings.execute(
+                () -> {
+                  try {
+                    Node node = started.join();
+                    node.reload(NodeConfig.read(System.getenv("PROXY_CONFIG")));
+                  } catch (ConfigException | RuntimeException e) {
+                    Node.LOG.warning("the configuration stays as it was: " + e.getMessage());
+                  }
+                }));
+  }
 
-    /** By reflection, as javac has a warning for each use of this class that nothing can silence. */
-    private static void onHangup(Runnable reaction) {
-        try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object handling = Proxy.newProxyInstance(Main.class.getClassLoader(), new Class<?>[] {handler},
-                    (self, method, arguments) -> {
-                        reaction.run();
-                        return null;
-                    });
-            signal.getMethod("handle", signal, handler).invoke(null,
-                    signal.getConstructor(String.class).newInstance("HUP"), handling);
-        } catch (ReflectiveOperationException e) {
-            exit("sablehinge: SIGHUP can't be handled: " + e, 1);
-        }
+  /** By reflection, as javac has a warning for each use of this class that nothing can silence. */
+  private static void onHangup(Runnable reaction) {
+    try {
+      Class<?> signal = Class.forName("sun.misc.Signal");
+      Class<?> handler = Class.forName("sun.misc.SignalHandler");
+      Object handling =
+          Proxy.newProxyInstance(
+              Main.class.getClassLoader(),
+              new Class<?>[] {handler},
+              (self, method, arguments) -> {
+                reaction.run();
+                return null;
+              });
+      signal
+          .getMethod("handle", signal, handler)
+          .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handling);
+    } catch (ReflectiveOperationException e) {
+      exit("sablehinge: SIGHUP can't be handled: " + e, 1);
     }
+  }
 
-    private static void exit(String message, int status) {
-        System.err.println(message);
-        System.exit(status);
-    }
+  private static void exit(String message, int status) {
+    System.err.println(message);
+    System.exit(status);
+  }
 }
--- a/src/main/java/cranedeal/node/Node.java
+++ b/src/main/java/cranedeal/node/Node.java
@@ -33,432 +33,525 @@
 import java.util.logging.Logger;
 
 /**
- * One balancer: owns the decision module, tells it what happens on the sockets and carries out what it asks
- * for. It decides nothing itself. All of it runs on one event loop thread, so nothing is locked.
+ * One balancer: owns the decision module, tells it what happens on the sockets and carries out what
+ * it asks for. It decides nothing itself. All of it runs on one event loop thread, so nothing is
+ * locked.
  */
 final class Node implements LoadBalancer.Actions {
 
-    static final Logger LOG = Logger.getLogger("sablehinge");
-    /** Netty's pool of direct memory: one arena, as there is one thread, in chunks of 512 KiB. */
-    private static final int PAGE = 8_192;
-    private static final int CHUNK_ORDER = 6;
-    private static final int CACHED = 32;
-    /** How long new connections may still come after SIGTERM, with time to spare. */
-    private static final long LATE_CONNECTIONS_MS = 550;
-    private static final long DRAIN_CHECK_MS = 10;
-    /** SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more: less is used of it. */
-    private static final double LONGEST_DRAIN_MS = 3_000;
-    private static final double DRAIN_SLACK_MS = 550;
-    /** The time that is kept of it to answer what has come, once callers are asked to leave. */
-    private static final double LAST_ANSWERS_MS = 1_650;
-    /** How long a start waits for discovery's first answer: it comes at once or, in an outage, much later. */
-    static final long FIRST_NEWS_MS = 500;
-    /** How often the log tells how late the loop was, if one of its iterations was longer than this. */
-    private static final long LATENESS_REPORT_MS = 5_000;
-    private static final long LATE_MS = 100;
-    /** How long an answer of discovery may lie unread while the loop is busy with other events. */
-    private static final double DISCOVERY_POLL_MS = 10;
-
-    private final NodeConfig config;
-    private final EventLoop loop;
-    private final EventLoopMonitor monitor;
-    private final Clock clock = new Clock();
-    private final LoadBalancer balancer;
-    private final UpstreamClient upstreams;
-    private final Discovery discovery;
-    private final Frontend frontend;
-    private final Map<Long, Exchange> exchanges = new HashMap<>();
-    private final ArrayDeque<Event> events = new ArrayDeque<>();
-    /** Open until discovery has told something. */
-    private final CountDownLatch untold = new CountDownLatch(1);
-    private long lastId;
-    private boolean deciding;
-    /** When discovery's connection was last looked at beside the loop's own order. */
-    private double discoveryPolledAt = Double.NEGATIVE_INFINITY;
-    /** The request that the module's present call is about, if it is about one. */
-    private Exchange subject;
-
-    /** Something to tell the module, and the request that it is about or null. */
-    private record Event(Exchange about, Runnable call) { }
-
-    private Node(NodeConfig config, EventLoop loop, EventLoopMonitor monitor,
-            Function<LoadBalancer.Actions, LoadBalancer> module) {
-        this.config = config;
-        this.loop = loop;
-        this.monitor = monitor;
-        // Written by the loop and, of a reload, by one more thread: a count may be off, which does no harm.
-        LOG.setFilter(new LogLimit(clock::now));
-        PooledByteBufAllocator memory = new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, CACHED,
-                CACHED, false);
-        Sockets sockets = new Sockets(config.sockets());
-        balancer = module.apply(this);
-        upstreams = new UpstreamClient(loop, clock, config.settings(), sockets, memory);
-        discovery = new Discovery(loop, config, memory, this::told, () -> sockets.makeRoom(clock.now()),
-                Discovery.WATCH_MS);
-        frontend = new Frontend(loop, config, sockets, memory, this, monitor);
-    }
-
-    static Node prepare(NodeConfig config) throws InterruptedException {
-        return prepare(config, LatencyWeightedBalancer::new, FIRST_NEWS_MS);
-    }
-
-    /**
-     * Begins a balancer with the given module, which lets nobody in yet. Where news is pushed, what the
-     * agent has counts as told by now: the known list may be old, and nobody is to be let in before that
-     * shows or discovery has been given its time.
-     */
-    static Node prepare(NodeConfig config, Function<LoadBalancer.Actions, LoadBalancer> module,
-            long firstNewsMillis) throws InterruptedException {
-        EventLoopMonitor monitor = new EventLoopMonitor(System::nanoTime);
-        EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1,
-                new DefaultThreadFactory("node", true), monitor.watch(NioIoHandler.newFactory())).next();
-        Node node = new Node(config, loop, monitor, module);
-        loop.submit(node::begin).sync();
-        if (!config.settings().subscribe()
-                && !node.untold.await(firstNewsMillis, TimeUnit.MILLISECONDS)) {
-            LOG.warning("discovery says nothing: the known list has to do");
-        }
-        return node;
-    }
-
-    /** Lets callers in; it serves once this returns. */
-    void serve() throws ConfigException, InterruptedException {
-        frontend.bind();
-        // The first line loads what logging needs, which later, with no descriptor left, would fail.
-        LOG.info("serves as " + config.name());
-    }
-
-    private void begin() {
-        Roster known = new Roster(config.known().version(), true, config.known().members());
-        upstreams.update(known, clock.now());
-        loop.scheduleAtFixedRate(this::reportLateness, LATENESS_REPORT_MS, LATENESS_REPORT_MS,
-                TimeUnit.MILLISECONDS);
-        tell(null, () -> balancer.start(clock.now(), config.settings(), config.seed()));
-        tell(null, () -> balancer.upstreamsChanged(clock.now(), Change.CACHED, known.upstreams()));
-        if (!config.settings().subscribe()) {
-            // Where news comes to a module unasked, it still has to be fetched over the socket.
-            watch(true);
-        }
-    }
-
-    private void reportLateness() {
-        EventLoopMonitor.Report report = monitor.report();
-        if (report.max() > LATE_MS) {
-            LOG.info("the event loop was late: its " + report.iterations() + " iterations took up to "
-                    + report.p50() + " ms in the median, " + report.p99() + " ms in 99 of 100 and "
-                    + report.max() + " ms at most");
-        }
-    }
-
-    /** Where it listens. */
-    InetSocketAddress address() {
-        return frontend.address();
-    }
-
-    /**
-     * Stops as SIGTERM wants it. Callers go on using the connections that they have, and may have nowhere
-     * else to go while another balancer restarts too, so they are served as before for as long as there is
-     * time to answer what has come. Then they are asked to leave. Returns when the process may end.
-     */
-    void drain() throws InterruptedException {
-        double longest = config.settings().classes().stream().mapToDouble(ServiceClass::deadline).max()
-                .orElse(0);
-        double begun = clock.now();
-        double latest = begun + Math.min(longest, LONGEST_DRAIN_MS) + DRAIN_SLACK_MS;
-        Thread.sleep((long) Math.max(LATE_CONNECTIONS_MS, latest - begun - LAST_ANSWERS_MS));
-        loop.submit(frontend::beginDrain).sync();
-        boolean done = endDrain();
-        while (!done && clock.now() < latest) {
-            Thread.sleep(DRAIN_CHECK_MS);
-            done = endDrain();
-        }
-        loop.submit(this::end).sync();
-    }
-
-    /**
-     * Answers whatever has come so far: what is left without an answer by the end of the process would be
-     * lost, and a failure is an answer. What has not been begun is refused, and no connection is left on
-     * which another request could come.
-     */
-    void end() {
-        frontend.end();
-        List.copyOf(exchanges.values()).stream().filter(Exchange::isOpen)
-                .forEach(exchange -> fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT));
-    }
-
-    /** Closes callers' connections that are idle; whether none is left. */
-    boolean endDrain() throws InterruptedException {
-        return loop.submit(frontend::endDrain).sync().getNow();
-    }
-
-    /** Takes over what may change while a balancer runs, which is where discovery is. */
-    void reload(NodeConfig changed) {
-        loop.execute(() -> discovery.moveTo(changed.discovery()));
-    }
-
-    /** Its parts, for tests; they are to be used on the loop only. */
-    <T> T onLoop(BiFunction<Frontend, UpstreamClient, T> look) throws InterruptedException {
-        return loop.submit(() -> look.apply(frontend, upstreams)).sync().getNow();
-    }
-
-    /** Ends at once, whatever is under way; for tests. */
-    void kill() {
-        loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
-    }
-
-    // ---- What happens ------------------------------------------------------------------------------
-
-    /**
-     * Tells the module of an event. An action may cause an event at once, such as a connection that is
-     * refused; it waits here until the module has returned from the call in which it acted.
-     */
-    private void tell(Exchange about, Runnable call) {
-        if (!deciding) {
-            pollDiscovery();
-        }
-        events.add(new Event(about, call));
-        if (deciding) {
-            return;
-        }
-        deciding = true;
+  static final Logger LOG = Logger.getLogger("sablehinge");
+
+  /** Netty's pool of direct memory: one arena, as there is one thread, in chunks of 512 KiB. */
+  private static final int PAGE = 8_192;
+
+  private static final int CHUNK_ORDER = 6;
+  private static final int CACHED = 32;
+
+  /** How long new connections may still come after SIGTERM, with time to spare. */
+  private static final long LATE_CONNECTIONS_MS = 550;
+
+  private static final long DRAIN_CHECK_MS = 10;
+
+  /**
+   * SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more: less is used of
+   * it.
+   */
+  private static final double LONGEST_DRAIN_MS = 3_000;
+
+  private static final double DRAIN_SLACK_MS = 550;
+
+  /** The time that is kept of it to answer what has come, once callers are asked to leave. */
+  private static final double LAST_ANSWERS_MS = 1_650;
+
+  /**
+   * How long a start waits for discovery's first answer: it comes at once or, in an outage, much
+   * later.
+   */
+  static final long FIRST_NEWS_MS = 500;
+
+  /**
+   * How often the log tells how late the loop was, if one of its iterations was longer than this.
+   */
+  private static final long LATENESS_REPORT_MS = 5_000;
+
+  private static final long LATE_MS = 100;
+
+  /** How long an answer of discovery may lie unread while the loop is busy with other events. */
+  private static final double DISCOVERY_POLL_MS = 10;
+
+  private final NodeConfig config;
+  private final EventLoop loop;
+  private final EventLoopMonitor monitor;
+  private final Clock clock = new Clock();
+  private final LoadBalancer balancer;
+  private final UpstreamClient upstreams;
+  private final Discovery discovery;
+  private final Frontend frontend;
+  private final Map<Long, Exchange> exchanges = new HashMap<>();
+  private final ArrayDeque<Event> events = new ArrayDeque<>();
+
+  /** Open until discovery has told something. */
+  private final CountDownLatch untold = new CountDownLatch(1);
+
+  private long lastId;
+  private boolean deciding;
+
+  /** When discovery's connection was last looked at beside the loop's own order. */
+  private double discoveryPolledAt = Double.NEGATIVE_INFINITY;
+
+  /** The request that the module's present call is about, if it is about one. */
+  private Exchange subject;
+
+  /** Something to tell the module, and the request that it is about or null. */
+  private record Event(Exchange about, Runnable call) {}
+
+  private Node(
+      NodeConfig config,
+      EventLoop loop,
+      EventLoopMonitor monitor,
+      Function<LoadBalancer.Actions, LoadBalancer> module) {
+    this.config = config;
+    this.loop = loop;
+    this.monitor = monitor;
+    // Written by the loop and, of a reload, by one more thread: a count may be off, which does no
+    // harm.
+    LOG.setFilter(new LogLimit(clock::now));
+    PooledByteBufAllocator memory =
+        new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, CACHED, CACHED, false);
+    Sockets sockets = new Sockets(config.sockets());
+    balancer = module.apply(this);
+    upstreams = new UpstreamClient(loop, clock, config.settings(), sockets, memory);
+    discovery =
+        new Discovery(
+            loop,
+            config,
+            memory,
+            this::told,
+            () -> sockets.makeRoom(clock.now()),
+            Discovery.WATCH_MS);
+    frontend = new Frontend(loop, config, sockets, memory, this, monitor);
+  }
+
+  static Node prepare(NodeConfig config) throws InterruptedException {
+    return prepare(config, LatencyWeightedBalancer::new, FIRST_NEWS_MS);
+  }
+
+  /**
+   * Begins a balancer with the given module, which lets nobody in yet. Where news is pushed, what
+   * the agent has counts as told by now: the known list may be old, and nobody is to be let in
+   * before that shows or discovery has been given its time.
+   */
+  static Node prepare(
+      NodeConfig config, Function<LoadBalancer.Actions, LoadBalancer> module, long firstNewsMillis)
+      throws InterruptedException {
+    EventLoopMonitor monitor = new EventLoopMonitor(System::nanoTime);
+    EventLoop loop =
+        (EventLoop)
+            new MultiThreadIoEventLoopGroup(
+                    1,
+                    new DefaultThreadFactory("node", true),
+                    monitor.watch(NioIoHandler.newFactory()))
+                .next();
+    Node node = new Node(config, loop, monitor, module);
+    loop.submit(node::begin).sync();
+    if (!config.settings().subscribe()
+        && !node.untold.await(firstNewsMillis, TimeUnit.MILLISECONDS)) {
+      LOG.warning("discovery says nothing: the known list has to do");
+    }
+    return node;
+  }
+
+  /** Lets callers in; it serves once this returns. */
+  void serve() throws ConfigException, InterruptedException {
+    frontend.bind();
+    // The first line loads what logging needs, which later, with no descriptor left, would fail.
+    LOG.info("serves as " + config.name());
+  }
+
+  private void begin() {
+    Roster known = new Roster(config.known().version(), true, config.known().members());
+    upstreams.update(known, clock.now());
+    loop.scheduleAtFixedRate(
+        this::reportLateness, LATENESS_REPORT_MS, LATENESS_REPORT_MS, TimeUnit.MILLISECONDS);
+    tell(null, () -> balancer.start(clock.now(), config.settings(), config.seed()));
+    tell(null, () -> balancer.upstreamsChanged(clock.now(), Change.CACHED, known.upstreams()));
+    if (!config.settings().subscribe()) {
+      // Where news comes to a module unasked, it still has to be fetched over the socket.
+      watch(true);
+    }
+  }
+
+  private void reportLateness() {
+    EventLoopMonitor.Report report = monitor.report();
+    if (report.max() > LATE_MS) {
+      LOG.info(
+          "the event loop was late: its "
+              + report.iterations()
+              + " iterations took up to "
+              + report.p50()
+              + " ms in the median, "
+              + report.p99()
+              + " ms in 99 of 100 and "
+              + report.max()
+              + " ms at most");
+    }
+  }
+
+  /** Where it listens. */
+  InetSocketAddress address() {
+    return frontend.address();
+  }
+
+  /**
+   * Stops as SIGTERM wants it. Callers go on using the connections that they have, and may have
+   * nowhere else to go while another balancer restarts too, so they are served as before for as
+   * long as there is time to answer what has come. Then they are asked to leave. Returns when the
+   * process may end.
+   */
+  void drain() throws InterruptedException {
+    double longest =
+        config.settings().classes().stream().mapToDouble(ServiceClass::deadline).max().orElse(0);
+    double begun = clock.now();
+    double latest = begun + Math.min(longest, LONGEST_DRAIN_MS) + DRAIN_SLACK_MS;
+    Thread.sleep((long) Math.max(LATE_CONNECTIONS_MS, latest - begun - LAST_ANSWERS_MS));
+    loop.submit(frontend::beginDrain).sync();
+    boolean done = endDrain();
+    while (!done && clock.now() < latest) {
+      Thread.sleep(DRAIN_CHECK_MS);
+      done = endDrain();
+    }
+    loop.submit(this::end).sync();
+  }
+
+  /**
+   * Answers whatever has come so far: what is left without an answer by the end of the process
+   * would be lost, and a failure is an answer. What has not been begun is refused, and no
+   * connection is left on which another request could come.
+   */
+  void end() {
+    frontend.end();
+    List.copyOf(exchanges.values()).stream()
+        .filter(Exchange::isOpen)
+        .forEach(exchange -> fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT));
+  }
+
+  /** Closes callers' connections that are idle; whether none is left. */
+  boolean endDrain() throws InterruptedException {
+    return loop.submit(frontend::endDrain).sync().getNow();
+  }
+
+  /** Takes over what may change while a balancer runs, which is where discovery is. */
+  void reload(NodeConfig changed) {
+    loop.execute(() -> discovery.moveTo(changed.discovery()));
+  }
+
+  /** Its parts, for tests; they are to be used on the loop only. */
+  <T> T onLoop(BiFunction<Frontend, UpstreamClient, T> look) throws InterruptedException {
+    return loop.submit(() -> look.apply(frontend, upstreams)).sync().getNow();
+  }
+
+  /** Ends at once, whatever is under way; for tests. */
+  void kill() {
+    loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+  }
+
+  // ---- What happens
+  // ------------------------------------------------------------------------------
+
+  /**
+   * Tells the module of an event. An action may cause an event at once, such as a connection that
+   * is refused; it waits here until the module has returned from the call in which it acted.
+   */
+  private void tell(Exchange about, Runnable call) {
+    if (!deciding) {
+      pollDiscovery();
+    }
+    events.add(new Event(about, call));
+    if (deciding) {
+      return;
+    }
+    deciding = true;
+    try {
+      for (Event event = events.poll(); event != null; event = events.poll()) {
+        subject = event.about();
         try {
-            for (Event event = events.poll(); event != null; event = events.poll()) {
-                subject = event.about();
-                try {
-                    event.call().run();
-                } catch (Throwable e) {
-                    broken(event.about(), e);
-                }
-            }
-        } finally {
-            subject = null;
-            deciding = false;
-        }
-    }
-
-    /**
-     * Takes in what discovery has written, ahead of other events that the loop has still to handle: on a
-     * busy loop these may take longer than the grace of a drain, and no decision may rest on the old list.
-     */
-    private void pollDiscovery() {
-        double now = clock.now();
-        boolean busy = monitor.longestWaitMillis() >= DISCOVERY_POLL_MS;
-        if (busy && now - discoveryPolledAt >= DISCOVERY_POLL_MS) {
-            discovery.poll();
-            discoveryPolledAt = now;
+          event.call().run();
+        } catch (Throwable e) {
+          broken(event.about(), e);
         }
-    }
-
-    /** From when on an answer of discovery that is read now counts as told: it may have been lying unread. */
-    private double toldSince() {
-        return Math.max(discoveryPolledAt, clock.now() - monitor.longestWaitMillis());
-    }
-
-    /** A call of the module broke off: what it was about fails, as nobody knows what has run. */
-    private void broken(Exchange about, Throwable cause) {
-        LOG.log(Level.SEVERE, "the decision module failed", cause);
-        if (about != null && about.isOpen()) {
-            fail(about, HttpResponseStatus.INTERNAL_SERVER_ERROR);
-        }
-    }
-
-    /** Fails a request over the module's head and tells it that the client waits no more. */
-    private void fail(Exchange exchange, HttpResponseStatus status) {
-        exchange.answer(status, Unpooled.EMPTY_BUFFER, 0);
-        exchange.attempts.forEach(Node::cancel);
-        tell(null, () -> balancer.clientGone(clock.now(), exchange.id));
-        settle(exchange);
-    }
-
-    /** Takes in news; throws if the module did not take the list, which then has to be asked for anew. */
-    private void told(Change change, Roster roster) {
-        List<Upstream> entries = roster == null ? List.of() : roster.upstreams();
-        if (roster != null) {
-            upstreams.update(roster, toldSince());
-        }
-        boolean[] taken = new boolean[1];
-        tell(null, () -> {
-            balancer.upstreamsChanged(clock.now(), change, entries);
-            taken[0] = true;
+      }
+    } finally {
+      subject = null;
+      deciding = false;
+    }
+  }
+
+  /**
+   * Takes in what discovery has written, ahead of other events that the loop has still to handle:
+   * on a busy loop these may take longer than the grace of a drain, and no decision may rest on the
+   * old list.
+   */
+  private void pollDiscovery() {
+    double now = clock.now();
+    boolean busy = monitor.longestWaitMillis() >= DISCOVERY_POLL_MS;
+    if (busy && now - discoveryPolledAt >= DISCOVERY_POLL_MS) {
+      discovery.poll();
+      discoveryPolledAt = now;
+    }
+  }
+
+  /**
+   * From when on an answer of discovery that is read now counts as told: it may have been lying
+   * unread.
+   */
+  private double toldSince() {
+    return Math.max(discoveryPolledAt, clock.now() - monitor.longestWaitMillis());
+  }
+
+  /** A call of the module broke off: what it was about fails, as nobody knows what has run. */
+  private void broken(Exchange about, Throwable cause) {
+    LOG.log(Level.SEVERE, "the decision module failed", cause);
+    if (about != null && about.isOpen()) {
+      fail(about, HttpResponseStatus.INTERNAL_SERVER_ERROR);
+    }
+  }
+
+  /** Fails a request over the module's head and tells it that the client waits no more. */
+  private void fail(Exchange exchange, HttpResponseStatus status) {
+    exchange.answer(status, Unpooled.EMPTY_BUFFER, 0);
+    exchange.attempts.forEach(Node::cancel);
+    tell(null, () -> balancer.clientGone(clock.now(), exchange.id));
+    settle(exchange);
+  }
+
+  /**
+   * Takes in news; throws if the module did not take the list, which then has to be asked for anew.
+   */
+  private void told(Change change, Roster roster) {
+    List<Upstream> entries = roster == null ? List.of() : roster.upstreams();
+    if (roster != null) {
+      upstreams.update(roster, toldSince());
+    }
+    boolean[] taken = new boolean[1];
+    tell(
+        null,
+        () -> {
+          balancer.upstreamsChanged(clock.now(), change, entries);
+          taken[0] = true;
         });
-        if (roster != null) {
-            if (!taken[0]) {
-                throw new IllegalStateException("the decision module took no list");
-            }
-            untold.countDown();
-        }
-    }
-
-    /** Takes a request in; the node owns a reference to {@code message} from here on. */
-    Exchange request(Function<Long, Request> description, FullHttpRequest message, Exchange.Caller caller) {
-        Request request = description.apply(++lastId);
-        Exchange exchange = new Exchange(request.id(), message, request.deadline(), caller);
-        exchanges.put(exchange.id, exchange);
-        double latest = exchange.deadline + config.settings().rules().answerGrace() / 2;
-        exchange.overdue = loop.schedule(() -> overdue(exchange), clock.nanosUntil(latest),
-                TimeUnit.NANOSECONDS);
-        tell(exchange, () -> balancer.request(clock.now(), request));
-        return exchange;
-    }
-
-    /** The module has left a request without its answer; it must not stay so. */
-    private void overdue(Exchange exchange) {
-        if (exchange.isOpen()) {
-            LOG.warning("a request was left without an answer");
-            fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT);
-        }
-    }
-
-    /** The client has closed its connection. */
-    void clientGone(Exchange exchange) {
-        if (exchange.isOpen()) {
-            exchange.close();
-            tell(exchange, () -> balancer.clientGone(clock.now(), exchange.id));
-            settle(exchange);
-        }
-    }
-
-    /** Whether a request is still worth an attempt: its client may have left with no word of it so far. */
-    private boolean isAwaited(Exchange exchange) {
-        if (exchange.isOpen() && !exchange.isAwaited()) {
-            clientGone(exchange);
-        }
-        return exchange.isOpen();
-    }
-
-    private void finished(Exchange exchange, int number, long upstream, double sentAt, Result result,
-            FullHttpResponse response) {
-        exchange.running--;
-        double[] report = response == null || config.settings().reports() != Reports.PIGGYBACK ? null
-                : LoadReport.parse(response.headers().get("X-Pressure"), config.settings().reportFields());
-        if (result == Result.OK) {
-            exchange.answer(HttpResponseStatus.OK, response.content(), 0);
-        }
-        tell(exchange, () -> balancer.attemptFinished(clock.now(), new Outcome(exchange.id, number, upstream,
-                result, !exchange.isOpen(), clock.now() - sentAt, report)));
-        settle(exchange);
-    }
-
-    /** Forgets a request once nothing more can come of it. */
-    private void settle(Exchange exchange) {
-        if (!exchange.isOpen() && exchange.running == 0 && exchanges.remove(exchange.id) != null) {
-            exchange.request.release();
-        }
-    }
-
-    double now() {
-        return clock.now();
-    }
-
-    // ---- What the module asks for ------------------------------------------------------------------
-
-    @Override
-    public void send(long requestId, long upstream, double timeout) {
-        Exchange exchange = exchanges.get(requestId);
-        if (exchange == null) {
-            return;
-        }
-        double now = clock.now();
-        int number = exchange.sends++;
-        exchange.running++;
-        if (!isAwaited(exchange) || now >= exchange.deadline
-                || number >= config.settings().limits().maxAttempts()) {
-            exchange.attempts.add(null);
-            finished(exchange, number, upstream, now, Result.NOT_SENT, null);
-            return;
-        }
-        double until = timeout == 0 ? exchange.deadline : Math.min(exchange.deadline, now + timeout);
-        UpstreamClient.Listener listener = new UpstreamClient.Listener() {
-            @Override
-            public void finished(Result result, FullHttpResponse response) {
-                Node.this.finished(exchange, number, upstream, now, result, response);
-            }
-
-            @Override
-            public boolean awaits() {
-                pollDiscovery();
-                return isAwaited(exchange);
-            }
+    if (roster != null) {
+      if (!taken[0]) {
+        throw new IllegalStateException("the decision module took no list");
+      }
+      untold.countDown();
+    }
+  }
+
+  /** Takes a request in; the node owns a reference to {@code message} from here on. */
+  Exchange request(
+      Function<Long, Request> description, FullHttpRequest message, Exchange.Caller caller) {
+    Request request = description.apply(++lastId);
+    Exchange exchange = new Exchange(request.id(), message, request.deadline(), caller);
+    exchanges.put(exchange.id, exchange);
+    double latest = exchange.deadline + config.settings().rules().answerGrace() / 2;
+    exchange.overdue =
+        loop.schedule(() -> overdue(exchange), clock.nanosUntil(latest), TimeUnit.NANOSECONDS);
+    tell(exchange, () -> balancer.request(clock.now(), request));
+    return exchange;
+  }
+
+  /** The module has left a request without its answer; it must not stay so. */
+  private void overdue(Exchange exchange) {
+    if (exchange.isOpen()) {
+      LOG.warning("a request was left without an answer");
+      fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT);
+    }
+  }
+
+  /** The client has closed its connection. */
+  void clientGone(Exchange exchange) {
+    if (exchange.isOpen()) {
+      exchange.close();
+      tell(exchange, () -> balancer.clientGone(clock.now(), exchange.id));
+      settle(exchange);
+    }
+  }
+
+  /**
+   * Whether a request is still worth an attempt: its client may have left with no word of it so
+   * far.
+   */
+  private boolean isAwaited(Exchange exchange) {
+    if (exchange.isOpen() && !exchange.isAwaited()) {
+      clientGone(exchange);
+    }
+    return exchange.isOpen();
+  }
+
+  private void finished(
+      Exchange exchange,
+      int number,
+      long upstream,
+      double sentAt,
+      Result result,
+      FullHttpResponse response) {
+    exchange.running--;
+    double[] report =
+        response == null || config.settings().reports() != Reports.PIGGYBACK
+            ? null
+            : LoadReport.parse(
+                response.headers().get("X-Pressure"), config.settings().reportFields());
+    if (result == Result.OK) {
+      exchange.answer(HttpResponseStatus.OK, response.content(), 0);
+    }
+    tell(
+        exchange,
+        () ->
+            balancer.attemptFinished(
+                clock.now(),
+                new Outcome(
+                    exchange.id,
+                    number,
+                    upstream,
+                    result,
+                    !exchange.isOpen(),
+                    clock.now() - sentAt,
+                    report)));
+    settle(exchange);
+  }
+
+  /** Forgets a request once nothing more can come of it. */
+  private void settle(Exchange exchange) {
+    if (!exchange.isOpen() && exchange.running == 0 && exchanges.remove(exchange.id) != null) {
+      exchange.request.release();
+    }
+  }
+
+  double now() {
+    return clock.now();
+  }
+
+  // ---- What the module asks for
+  // ------------------------------------------------------------------
+
+  @Override
+  public void send(long requestId, long upstream, double timeout) {
+    Exchange exchange = exchanges.get(requestId);
+    if (exchange == null) {
+      return;
+    }
+    double now = clock.now();
+    int number = exchange.sends++;
+    exchange.running++;
+    if (!isAwaited(exchange)
+        || now >= exchange.deadline
+        || number >= config.settings().limits().maxAttempts()) {
+      exchange.attempts.add(null);
+      finished(exchange, number, upstream, now, Result.NOT_SENT, null);
+      return;
+    }
+    double until = timeout == 0 ? exchange.deadline : Math.min(exchange.deadline, now + timeout);
+    UpstreamClient.Listener listener =
+        new UpstreamClient.Listener() {
+          @Override
+          public void finished(Result result, FullHttpResponse response) {
+            Node.this.finished(exchange, number, upstream, now, result, response);
+          }
+
+          @Override
+          public boolean awaits() {
+            pollDiscovery();
+            return isAwaited(exchange);
+          }
         };
-        exchange.attempts.add(upstreams.send(upstream, exchange.request, until, listener));
-    }
-
-    @Override
-    public void refuse(long requestId, double retryAfter) {
-        answer(requestId, HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfter);
-    }
-
-    @Override
-    public void fail(long requestId) {
-        answer(requestId, HttpResponseStatus.BAD_GATEWAY, 0);
-    }
-
-    private void answer(long requestId, HttpResponseStatus status, double retryAfter) {
-        Exchange exchange = exchanges.get(requestId);
-        if (exchange != null) {
-            exchange.answer(status, Unpooled.EMPTY_BUFFER, retryAfter);
-            settle(exchange);
-        }
-    }
-
-    @Override
-    public void cancel(long requestId, int attempt) {
-        Exchange exchange = exchanges.get(requestId);
-        if (exchange != null && attempt < exchange.attempts.size()) {
-            cancel(exchange.attempts.get(attempt));
-        }
-    }
-
-    private static void cancel(UpstreamClient.Attempt attempt) {
-        if (attempt != null) {
-            attempt.cancel();
-        }
-    }
-
-    @Override
-    public void probe(long upstream) {
-        double sentAt = clock.now();
-        double until = sentAt + config.settings().limits().connectTimeout() * 2;
-        upstreams.probe(upstream, until, (result, response) -> {
-            ByteBuf body = result == Result.OK ? response.content() : Unpooled.EMPTY_BUFFER;
-            double[] report = LoadReport.parse(body.toString(StandardCharsets.UTF_8),
-                    config.settings().reportFields());
-            tell(null, () -> balancer.probeResult(clock.now(), upstream, result, clock.now() - sentAt,
-                    report));
+    exchange.attempts.add(upstreams.send(upstream, exchange.request, until, listener));
+  }
+
+  @Override
+  public void refuse(long requestId, double retryAfter) {
+    answer(requestId, HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfter);
+  }
+
+  @Override
+  public void fail(long requestId) {
+    answer(requestId, HttpResponseStatus.BAD_GATEWAY, 0);
+  }
+
+  private void answer(long requestId, HttpResponseStatus status, double retryAfter) {
+    Exchange exchange = exchanges.get(requestId);
+    if (exchange != null) {
+      exchange.answer(status, Unpooled.EMPTY_BUFFER, retryAfter);
+      settle(exchange);
+    }
+  }
+
+  @Override
+  public void cancel(long requestId, int attempt) {
+    Exchange exchange = exchanges.get(requestId);
+    if (exchange != null && attempt < exchange.attempts.size()) {
+      cancel(exchange.attempts.get(attempt));
+    }
+  }
+
+  private static void cancel(UpstreamClient.Attempt attempt) {
+    if (attempt != null) {
+      attempt.cancel();
+    }
+  }
+
+  @Override
+  public void probe(long upstream) {
+    double sentAt = clock.now();
+    double until = sentAt + config.settings().limits().connectTimeout() * 2;
+    upstreams.probe(
+        upstream,
+        until,
+        (result, response) -> {
+          ByteBuf body = result == Result.OK ? response.content() : Unpooled.EMPTY_BUFFER;
+          double[] report =
+              LoadReport.parse(
+                  body.toString(StandardCharsets.UTF_8), config.settings().reportFields());
+          tell(
+              null,
+              () ->
+                  balancer.probeResult(
+                      clock.now(), upstream, result, clock.now() - sentAt, report));
         });
-    }
-
-    @Override
-    public void closeIdle(long upstream) {
-        upstreams.closeIdle(upstream);
-    }
-
-    @Override
-    public void fetch() {
-        discovery.fetch();
-    }
-
-    @Override
-    public void watch(boolean on) {
-        discovery.watch(on);
-    }
-
-    @Override
-    public void setTimer(long token, double at) {
-        // The number and not the request itself, which the timer would keep in memory until it is due.
-        long about = subject == null ? 0 : subject.id;
-        loop.schedule(() -> tell(exchanges.get(about), () -> balancer.timer(clock.now(), token)),
-                clock.nanosUntil(at), TimeUnit.NANOSECONDS);
-    }
-
-    /** Balancers of this deployment have no way to talk to each other. */
-    @Override
-    public void tell(int peer, byte[] payload) {
-        LOG.warning("the module wants to talk to its peers, which it can't here");
-    }
-
-    @Override
-    public void log(String text) {
-        LOG.info(text);
-    }
+  }
+
+  @Override
+  public void closeIdle(long upstream) {
+    upstreams.closeIdle(upstream);
+  }
+
+  @Override
+  public void fetch() {
+    discovery.fetch();
+  }
+
+  @Override
+  public void watch(boolean on) {
+    discovery.watch(on);
+  }
+
+  @Override
+  public void setTimer(long token, double at) {
+    // The number and not the request itself, which the timer would keep in memory until it is due.
+    long about = subject == null ? 0 : subject.id;
+    loop.schedule(
+        () -> tell(exchanges.get(about), () -> balancer.timer(clock.now(), token)),
+        clock.nanosUntil(at),
+        TimeUnit.NANOSECONDS);
+  }
+
+  /** Balancers of this deployment have no way to talk to each other. */
+  @Override
+  public void tell(int peer, byte[] payload) {
+    LOG.warning("the module wants to talk to its peers, which it can't here");
+  }
+
+  @Override
+  public void log(String text) {
+    LOG.info(text);
+  }
 }
--- a/src/main/java/cranedeal/node/NodeConfig.java
+++ b/src/main/java/cranedeal/node/NodeConfig.java
@@ -20,87 +20,103 @@
  * @param zones the names of the zones, by the index that the module uses; likewise the others
  * @param known the upstreams as this balancer last had them
  */
-record NodeConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-        Settings settings, List<String> zones, List<String> kinds, List<String> classes,
-        List<String> tenants, Roster known) {
+record NodeConfig(
+    String name,
+    InetSocketAddress listen,
+    InetSocketAddress discovery,
+    long seed,
+    int sockets,
+    Settings settings,
+    List<String> zones,
+    List<String> kinds,
+    List<String> classes,
+    List<String> tenants,
+    Roster known) {
 
-    static NodeConfig read(String path) throws ConfigException {
-        if (path == null || path.isEmpty()) {
-            throw new ConfigException("PROXY_CONFIG names no file");
-        }
-        try (InputStream file = new FileInputStream(path)) {
-            return parse(Json.read(file));
-        } catch (IOException e) {
-            String why = e.getMessage().lines().findFirst().orElse("");
-            throw new ConfigException("cannot read " + path + ": " + why);
-        } catch (IllegalArgumentException | MalformedInputException e) {
-            throw new ConfigException(path + ": " + e.getMessage());
-        }
+  static NodeConfig read(String path) throws ConfigException {
+    if (path == null || path.isEmpty()) {
+      throw new ConfigException("PROXY_CONFIG names no file");
     }
-
-    static NodeConfig parse(JsonNode root) {
-        JsonNode given = root.path("settings");
-        StringBuilder lines = new StringBuilder();
-        flatten("", given, lines);
-        Settings settings = SettingsParser.parse(lines.toString().getBytes(StandardCharsets.UTF_8));
-        List<String> zones = names(given.path("zones"));
-        List<String> kinds = names(given.path("machineTypes"));
-        return new NodeConfig(root.path("name").asText("balancer"), address(root, "listen"),
-                address(root, "discovery"), seed(root.path("seed").asText("")),
-                root.path("limits").path("sockets").asInt(1_024), settings, zones, kinds,
-                names(given.path("services")), names(given.path("tenants")),
-                Roster.parse(root.path("known"), zones, kinds));
+    try (InputStream file = new FileInputStream(path)) {
+      return parse(Json.read(file));
+    } catch (IOException e) {
+      String why = e.getMessage().lines().findFirst().orElse("");
+      throw new ConfigException("cannot read " + path + ": " + why);
+    } catch (IllegalArgumentException | MalformedInputException e) {
+      throw new ConfigException(path + ": " + e.getMessage());
     }
+  }
 
-    private static InetSocketAddress address(JsonNode root, String key) {
-        try {
-            return Roster.address(root.path(key).asText(""));
-        } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException(key + ": " + e.getMessage(), e);
-        }
-    }
+  static NodeConfig parse(JsonNode root) {
+    JsonNode given = root.path("settings");
+    StringBuilder lines = new StringBuilder();
+    flatten("", given, lines);
+    Settings settings = SettingsParser.parse(lines.toString().getBytes(StandardCharsets.UTF_8));
+    List<String> zones = names(given.path("zones"));
+    List<String> kinds = names(given.path("machineTypes"));
+    return new NodeConfig(
+        root.path("name").asText("balancer"),
+        address(root, "listen"),
+        address(root, "discovery"),
+        seed(root.path("seed").asText("")),
+        root.path("limits").path("sockets").asInt(1_024),
+        settings,
+        zones,
+        kinds,
+        names(given.path("services")),
+        names(given.path("tenants")),
+        Roster.parse(root.path("known"), zones, kinds));
+  }
 
-    private static long seed(String text) {
-        try {
-            return Long.parseUnsignedLong(text, 16);
-        } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("seed '" + text + "' is no hexadecimal number", e);
-        }
+  private static InetSocketAddress address(JsonNode root, String key) {
+    try {
+      return Roster.address(root.path(key).asText(""));
+    } catch (IllegalArgumentException e) {
+      throw new IllegalArgumentException(key + ": " + e.getMessage(), e);
     }
+  }
 
-    /** The names in a list, or those of the objects in it. */
-    private static List<String> names(JsonNode list) {
-        List<String> names = new ArrayList<>();
-        list.forEach(item -> names.add(item.isObject() ? item.path("name").asText() : item.asText()));
-        return List.copyOf(names);
+  private static long seed(String text) {
+    try {
+      return Long.parseUnsignedLong(text, 16);
+    } catch (NumberFormatException e) {
+      throw new IllegalArgumentException("seed '" + text + "' is no hexadecimal number", e);
     }
+  }
 
-    /** Writes nested settings as the {@code path=value} lines of the simulator's first message. */
-    private static void flatten(String path, JsonNode value, StringBuilder lines) {
-        if (value.isObject()) {
-            for (Map.Entry<String, JsonNode> field : value.properties()) {
-                String name = path.isEmpty() ? field.getKey() : path + "." + field.getKey();
-                flatten(name, field.getValue(), lines);
-            }
-        } else if (value.isArray() && value.size() > 0 && value.get(0).isObject()) {
-            line(path + ".count", Integer.toString(value.size()), lines);
-            for (int i = 0; i < value.size(); i++) {
-                flatten(path + "." + i, value.get(i), lines);
-            }
-        } else if (value.isArray()) {
-            List<String> items = new ArrayList<>();
-            value.forEach(item -> items.add(plain(item)));
-            line(path, String.join(",", items), lines);
-        } else if (!value.isNull() && !value.isMissingNode()) {
-            line(path, plain(value), lines);
-        }
-    }
+  /** The names in a list, or those of the objects in it. */
+  private static List<String> names(JsonNode list) {
+    List<String> names = new ArrayList<>();
+    list.forEach(item -> names.add(item.isObject() ? item.path("name").asText() : item.asText()));
+    return List.copyOf(names);
+  }
 
-    private static String plain(JsonNode value) {
-        return value.asText().replaceAll("[\\s,]", "_");
+  /** Writes nested settings as the {@code path=value} lines of the simulator's first message. */
+  private static void flatten(String path, JsonNode value, StringBuilder lines) {
+    if (value.isObject()) {
+      for (Map.Entry<String, JsonNode> field : value.properties()) {
+        String name = path.isEmpty() ? field.getKey() : path + "." + field.getKey();
+        flatten(name, field.getValue(), lines);
+      }
+    } else if (value.isArray() && value.size() > 0 && value.get(0).isObject()) {
+      line(path + ".count", Integer.toString(value.size()), lines);
+      for (int i = 0; i < value.size(); i++) {
+        flatten(path + "." + i, value.get(i), lines);
+      }
+    } else if (value.isArray()) {
+      List<String> items = new ArrayList<>();
+      value.forEach(item -> items.add(plain(item)));
+      line(path, String.join(",", items), lines);
+    } else if (!value.isNull() && !value.isMissingNode()) {
+      line(path, plain(value), lines);
     }
+  }
 
-    private static void line(String path, String value, StringBuilder lines) {
-        lines.append(path).append('=').append(value).append('\n');
-    }
+  private static String plain(JsonNode value) {
+    return value.asText().replaceAll("[\\s,]", "_");
+  }
+
+  private static void line(String path, String value, StringBuilder lines) {
+    lines.append(path).append('=').append(value).append('\n');
+  }
 }
--- a/src/main/java/cranedeal/node/RequestCheck.java
+++ b/src/main/java/cranedeal/node/RequestCheck.java
@@ -22,206 +22,239 @@
 import java.util.regex.Pattern;
 
 /**
- * Checks what callers send against the protocol before anything of it goes further. What an upstream might
- * read in another way than this balancer, such as where a body ends, must not reach it.
+ * Checks what callers send against the protocol before anything of it goes further. What an
+ * upstream might read in another way than this balancer, such as where a body ends, must not reach
+ * it.
  */
 final class RequestCheck {
 
-    private static final int MS = 1_000;
-    /**
-     * Ms, and most of a client's time, that are kept to tell it how its request ended: an answer that says so
-     * only when the time is up is none. Answers of a busy balancer have left some 40 ms late. Where its event
-     * loop is later than that, so are its answers, and a larger part of the time may be kept.
-     */
-    private static final double ANSWER_MS = 40;
-    private static final double ANSWER_SHARE = 0.1;
-    private static final double LATE_ANSWER_SHARE = 0.25;
-    /** An id or a key: it goes on as it came, so it must be plain. */
-    private static final Pattern TOKEN = Pattern.compile("[!-~]{1,128}");
-    private static final Pattern TARGET = Pattern.compile("/[!-~]{0,2047}");
-    private static final Pattern DIGITS = Pattern.compile("[0-9]{1,18}");
-    /** Narrower than what Java takes for a number, which includes NaN, hexadecimals and suffixes. */
-    private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,12}(\\.[0-9]{0,12})?");
-
-    private final NodeConfig config;
-    private final Map<String, Integer> classes = new HashMap<>();
-
-    RequestCheck(NodeConfig config) {
-        this.config = config;
-        for (int i = 0; i < config.classes().size(); i++) {
-            classes.put(config.classes().get(i), i);
-        }
-    }
+  private static final int MS = 1_000;
 
-    /** A request that its caller has got wrong, and how to say so. */
-    static final class BadRequestException extends Exception {
+  /**
+   * Ms, and most of a client's time, that are kept to tell it how its request ended: an answer that
+   * says so only when the time is up is none. Answers of a busy balancer have left some 40 ms late.
+   * Where its event loop is later than that, so are its answers, and a larger part of the time may
+   * be kept.
+   */
+  private static final double ANSWER_MS = 40;
 
-        private static final long serialVersionUID = 1;
-        private final transient HttpResponseStatus status;
+  private static final double ANSWER_SHARE = 0.1;
+  private static final double LATE_ANSWER_SHARE = 0.25;
 
-        BadRequestException(HttpResponseStatus status, String message) {
-            super(message, null, false, false);
-            this.status = status;
-        }
+  /** An id or a key: it goes on as it came, so it must be plain. */
+  private static final Pattern TOKEN = Pattern.compile("[!-~]{1,128}");
 
-        BadRequestException(String message) {
-            this(HttpResponseStatus.BAD_REQUEST, message);
-        }
+  private static final Pattern TARGET = Pattern.compile("/[!-~]{0,2047}");
+  private static final Pattern DIGITS = Pattern.compile("[0-9]{1,18}");
 
-        HttpResponseStatus status() {
-            return status;
-        }
-    }
+  /** Narrower than what Java takes for a number, which includes NaN, hexadecimals and suffixes. */
+  private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,12}(\\.[0-9]{0,12})?");
 
-    /** Netty would drop the length of a message that has both framings, and go on. */
-    static class Decoder extends HttpRequestDecoder {
+  private final NodeConfig config;
+  private final Map<String, Integer> classes = new HashMap<>();
 
-        @Override
-        protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw new IllegalArgumentException("both framings");
-        }
+  RequestCheck(NodeConfig config) {
+    this.config = config;
+    for (int i = 0; i < config.classes().size(); i++) {
+      classes.put(config.classes().get(i), i);
     }
+  }
 
-    /** A request as the module wants it, but for its id. */
-    record Template(String txn, int serviceClass, int tenant, long key, double deadline, double cost,
-            boolean retry, boolean write) {
+  /** A request that its caller has got wrong, and how to say so. */
+  static final class BadRequestException extends Exception {
 
-        Request withId(long id) {
-            return new Request(id, serviceClass, tenant, key, deadline, cost, retry, write);
-        }
+    private static final long serialVersionUID = 1;
+    private final transient HttpResponseStatus status;
+
+    BadRequestException(HttpResponseStatus status, String message) {
+      super(message, null, false, false);
+      this.status = status;
     }
 
-    /** Looks at a head before its body has come: whether it can be read, and where the body will end. */
-    static void head(HttpRequest head) throws BadRequestException {
-        if (!head.decoderResult().isSuccess()) {
-            Throwable cause = head.decoderResult().cause();
-            throw new BadRequestException(cause instanceof TooLongHttpLineException
-                    ? HttpResponseStatus.REQUEST_URI_TOO_LONG : cause instanceof TooLongHttpHeaderException
-                    ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE : HttpResponseStatus.BAD_REQUEST,
-                    "malformed HTTP");
-        }
-        if (head.protocolVersion().majorVersion() != 1) {
-            throw new BadRequestException(HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED, "not HTTP/1.1");
-        }
-        HttpHeaders headers = head.headers();
-        String coding = single(headers, HttpHeaderNames.TRANSFER_ENCODING);
-        String length = single(headers, HttpHeaderNames.CONTENT_LENGTH);
-        if (coding != null && (length != null || !coding.strip().equalsIgnoreCase("chunked")
-                || head.protocolVersion().equals(HttpVersion.HTTP_1_0))) {
-            throw new BadRequestException("the end of the body is in doubt");
-        }
-        if (length != null && !DIGITS.matcher(length).matches()) {
-            throw new BadRequestException("Content-Length is no length");
-        }
-        if (length != null && Long.parseLong(length) > UpstreamClient.MAX_BODY) {
-            throw tooLarge();
-        }
-        String expect = single(headers, HttpHeaderNames.EXPECT);
-        if (expect != null && !expect.equalsIgnoreCase("100-continue")) {
-            throw new BadRequestException(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation");
-        }
+    BadRequestException(String message) {
+      this(HttpResponseStatus.BAD_REQUEST, message);
     }
 
-    static BadRequestException tooLarge() {
-        return new BadRequestException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+    HttpResponseStatus status() {
+      return status;
     }
+  }
 
-    /** Reads a whole request that came at a time; {@code lateness} is that of the event loop, in ms. */
-    Template read(FullHttpRequest request, double arrivedAt, double lateness) throws BadRequestException {
-        if (!TARGET.matcher(request.uri()).matches()) {
-            throw new BadRequestException("the target is no path");
-        }
-        HttpHeaders headers = request.headers();
-        String name = single(headers, "X-Lane");
-        Integer place = classes.get(name);
-        if (place == null || !name.equals(firstPart(request.uri()))) {
-            throw new BadRequestException("unknown class");
-        }
-        ServiceClass type = config.settings().classes().get(place);
-        boolean get = request.method().equals(HttpMethod.GET);
-        if (get != (type.repeat() == Repeat.IDEMPOTENT)
-                || !get && !request.method().equals(HttpMethod.POST)) {
-            throw new BadRequestException("the class wants another method");
-        }
-        if (get && request.content().isReadable()) {
-            throw new BadRequestException("a body that nobody reads");
-        }
-        if (token(headers, "Idempotency-Key") == null ^ type.repeat() != Repeat.DEDUPLICATED) {
-            throw new BadRequestException("the class wants Idempotency-Key otherwise");
-        }
-        String txn = token(headers, "X-Txn");
-        if (txn == null) {
-            throw new BadRequestException("X-Txn is missing");
-        }
-        String tenant = single(headers, "X-Org");
-        int tenantIndex = config.tenants().isEmpty() || tenant == null ? 0 : config.tenants().indexOf(tenant);
-        if (tenantIndex < 0) {
-            throw new BadRequestException("unknown tenant");
-        }
-        double remaining = number(headers, "X-Remaining");
-        if (Double.isNaN(remaining)) {
-            throw new BadRequestException("X-Remaining is missing");
-        }
-        double estimate = number(headers, "X-Estimate");
-        // No client of this class waits longer, whatever it says; what is kept for it must not stay either.
-        return new Template(txn, place, tenantIndex, key(single(headers, "Cookie")),
-                arrivedAt + beforeEnd(Math.min(type.deadline(), remaining * MS), lateness),
-                Double.isNaN(estimate) ? 0 : estimate / MS, "1".equals(single(headers, "X-Resent")), !get);
+  /** Netty would drop the length of a message that has both framings, and go on. */
+  static class Decoder extends HttpRequestDecoder {
+
+    @Override
+    protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
+      throw new IllegalArgumentException("both framings");
     }
+  }
+
+  /** A request as the module wants it, but for its id. */
+  record Template(
+      String txn,
+      int serviceClass,
+      int tenant,
+      long key,
+      double deadline,
+      double cost,
+      boolean retry,
+      boolean write) {
 
-    private static double beforeEnd(double time, double lateness) {
-        double usual = Math.min(ANSWER_MS, ANSWER_SHARE * time);
-        return time - Math.max(usual, Math.min(lateness, LATE_ANSWER_SHARE * time));
+    Request withId(long id) {
+      return new Request(id, serviceClass, tenant, key, deadline, cost, retry, write);
     }
+  }
 
-    private static String firstPart(String uri) {
-        String[] parts = uri.split("[/?]", 3);
-        return parts.length > 1 ? parts[1] : "";
+  /**
+   * Looks at a head before its body has come: whether it can be read, and where the body will end.
+   */
+  static void head(HttpRequest head) throws BadRequestException {
+    if (!head.decoderResult().isSuccess()) {
+      Throwable cause = head.decoderResult().cause();
+      throw new BadRequestException(
+          cause instanceof TooLongHttpLineException
+              ? HttpResponseStatus.REQUEST_URI_TOO_LONG
+              : cause instanceof TooLongHttpHeaderException
+                  ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
+                  : HttpResponseStatus.BAD_REQUEST,
+          "malformed HTTP");
     }
+    if (head.protocolVersion().majorVersion() != 1) {
+      throw new BadRequestException(HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED, "not HTTP/1.1");
+    }
+    HttpHeaders headers = head.headers();
+    String coding = single(headers, HttpHeaderNames.TRANSFER_ENCODING);
+    String length = single(headers, HttpHeaderNames.CONTENT_LENGTH);
+    if (coding != null
+        && (length != null
+            || !coding.strip().equalsIgnoreCase("chunked")
+            || head.protocolVersion().equals(HttpVersion.HTTP_1_0))) {
+      throw new BadRequestException("the end of the body is in doubt");
+    }
+    if (length != null && !DIGITS.matcher(length).matches()) {
+      throw new BadRequestException("Content-Length is no length");
+    }
+    if (length != null && Long.parseLong(length) > UpstreamClient.MAX_BODY) {
+      throw tooLarge();
+    }
+    String expect = single(headers, HttpHeaderNames.EXPECT);
+    if (expect != null && !expect.equalsIgnoreCase("100-continue")) {
+      throw new BadRequestException(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation");
+    }
+  }
 
-    /** A header's one value, or null; two could be read as either. */
-    private static String single(HttpHeaders headers, CharSequence name) throws BadRequestException {
-        List<String> values = headers.getAll(name);
-        if (values.size() > 1) {
-            throw new BadRequestException(name + " is repeated");
-        }
-        return values.isEmpty() ? null : values.get(0);
+  static BadRequestException tooLarge() {
+    return new BadRequestException(
+        HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+  }
+
+  /**
+   * Reads a whole request that came at a time; {@code lateness} is that of the event loop, in ms.
+   */
+  Template read(FullHttpRequest request, double arrivedAt, double lateness)
+      throws BadRequestException {
+    if (!TARGET.matcher(request.uri()).matches()) {
+      throw new BadRequestException("the target is no path");
+    }
+    HttpHeaders headers = request.headers();
+    String name = single(headers, "X-Lane");
+    Integer place = classes.get(name);
+    if (place == null || !name.equals(firstPart(request.uri()))) {
+      throw new BadRequestException("unknown class");
+    }
+    ServiceClass type = config.settings().classes().get(place);
+    boolean get = request.method().equals(HttpMethod.GET);
+    if (get != (type.repeat() == Repeat.IDEMPOTENT)
+        || !get && !request.method().equals(HttpMethod.POST)) {
+      throw new BadRequestException("the class wants another method");
+    }
+    if (get && request.content().isReadable()) {
+      throw new BadRequestException("a body that nobody reads");
+    }
+    if (token(headers, "Idempotency-Key") == null ^ type.repeat() != Repeat.DEDUPLICATED) {
+      throw new BadRequestException("the class wants Idempotency-Key otherwise");
+    }
+    String txn = token(headers, "X-Txn");
+    if (txn == null) {
+      throw new BadRequestException("X-Txn is missing");
     }
+    String tenant = single(headers, "X-Org");
+    int tenantIndex =
+        config.tenants().isEmpty() || tenant == null ? 0 : config.tenants().indexOf(tenant);
+    if (tenantIndex < 0) {
+      throw new BadRequestException("unknown tenant");
+    }
+    double remaining = number(headers, "X-Remaining");
+    if (Double.isNaN(remaining)) {
+      throw new BadRequestException("X-Remaining is missing");
+    }
+    double estimate = number(headers, "X-Estimate");
+    // No client of this class waits longer, whatever it says; what is kept for it must not stay
+    // either.
+    return new Template(
+        txn,
+        place,
+        tenantIndex,
+        key(single(headers, "Cookie")),
+        arrivedAt + beforeEnd(Math.min(type.deadline(), remaining * MS), lateness),
+        Double.isNaN(estimate) ? 0 : estimate / MS,
+        "1".equals(single(headers, "X-Resent")),
+        !get);
+  }
 
-    private static String token(HttpHeaders headers, String name) throws BadRequestException {
-        String text = single(headers, name);
-        if (text != null && !TOKEN.matcher(text).matches()) {
-            throw new BadRequestException(name + " is of no use");
-        }
-        return text;
+  private static double beforeEnd(double time, double lateness) {
+    double usual = Math.min(ANSWER_MS, ANSWER_SHARE * time);
+    return time - Math.max(usual, Math.min(lateness, LATE_ANSWER_SHARE * time));
+  }
+
+  private static String firstPart(String uri) {
+    String[] parts = uri.split("[/?]", 3);
+    return parts.length > 1 ? parts[1] : "";
+  }
+
+  /** A header's one value, or null; two could be read as either. */
+  private static String single(HttpHeaders headers, CharSequence name) throws BadRequestException {
+    List<String> values = headers.getAll(name);
+    if (values.size() > 1) {
+      throw new BadRequestException(name + " is repeated");
     }
+    return values.isEmpty() ? null : values.get(0);
+  }
 
-    /** A header's number, not below 0; NaN where the header is absent. */
-    private static double number(HttpHeaders headers, String name) throws BadRequestException {
-        String text = single(headers, name);
-        if (text == null) {
-            return Double.NaN;
-        }
-        if (!DECIMAL.matcher(text).matches()) {
-            throw new BadRequestException(name + " is no number of use");
-        }
-        return Double.parseDouble(text);
+  private static String token(HttpHeaders headers, String name) throws BadRequestException {
+    String text = single(headers, name);
+    if (text != null && !TOKEN.matcher(text).matches()) {
+      throw new BadRequestException(name + " is of no use");
     }
+    return text;
+  }
 
-    /** What the request is about, as the cookie {@code key} has it; 0 for none. */
-    private static long key(String cookies) {
-        if (cookies == null) {
-            return 0;
-        }
-        for (Cookie cookie : ServerCookieDecoder.LAX.decode(cookies)) {
-            if (cookie.name().equals("key")) {
-                try {
-                    return Long.parseUnsignedLong(cookie.value(), 16);
-                } catch (NumberFormatException e) {
-                    return cookie.value().hashCode();
-                }
-            }
+  /** A header's number, not below 0; NaN where the header is absent. */
+  private static double number(HttpHeaders headers, String name) throws BadRequestException {
+    String text = single(headers, name);
+    if (text == null) {
+      return Double.NaN;
+    }
+    if (!DECIMAL.matcher(text).matches()) {
+      throw new BadRequestException(name + " is no number of use");
+    }
+    return Double.parseDouble(text);
+  }
+
+  /** What the request is about, as the cookie {@code key} has it; 0 for none. */
+  private static long key(String cookies) {
+    if (cookies == null) {
+      return 0;
+    }
+    for (Cookie cookie : ServerCookieDecoder.LAX.decode(cookies)) {
+      if (cookie.name().equals("key")) {
+        try {
+          return Long.parseUnsignedLong(cookie.value(), 16);
+        } catch (NumberFormatException e) {
+          return cookie.value().hashCode();
         }
-        return 0;
+      }
     }
+    return 0;
+  }
 }
--- a/src/main/java/cranedeal/node/Roster.java
+++ b/src/main/java/cranedeal/node/Roster.java
@@ -15,75 +15,83 @@
 /** A list of upstreams in discovery's form: the whole one, or what has changed. */
 record Roster(long version, boolean full, List<Member> members) {
 
-    /** An upstream as the module knows it, and where it listens. */
-    record Member(Upstream upstream, InetSocketAddress address) { }
+  /** An upstream as the module knows it, and where it listens. */
+  record Member(Upstream upstream, InetSocketAddress address) {}
 
-    /** The entries as the decision module takes them. */
-    List<Upstream> upstreams() {
-        return members.stream().map(Member::upstream).toList();
-    }
+  /** The entries as the decision module takes them. */
+  List<Upstream> upstreams() {
+    return members.stream().map(Member::upstream).toList();
+  }
 
-    /**
-     * Reads a list; throws {@link IllegalArgumentException} if any part of it is amiss, since half a list
-     * would drop upstreams that are well.
-     */
-    static Roster parse(JsonNode list, List<String> zones, List<String> kinds) {
-        JsonNode servers = list.get("servers");
-        if (servers == null || !servers.isArray() || !list.path("version").isIntegralNumber()) {
-            throw new IllegalArgumentException("a list of upstreams needs a version and servers");
-        }
-        List<Member> members = new ArrayList<>(servers.size());
-        for (JsonNode entry : servers) {
-            members.add(member(entry, zones, kinds));
-        }
-        return new Roster(list.get("version").longValue(), list.path("full").asBoolean(), members);
+  /**
+   * Reads a list; throws {@link IllegalArgumentException} if any part of it is amiss, since half a
+   * list would drop upstreams that are well.
+   */
+  static Roster parse(JsonNode list, List<String> zones, List<String> kinds) {
+    JsonNode servers = list.get("servers");
+    if (servers == null || !servers.isArray() || !list.path("version").isIntegralNumber()) {
+      throw new IllegalArgumentException("a list of upstreams needs a version and servers");
     }
-
-    private static Member member(JsonNode entry, List<String> zones, List<String> kinds) {
-        String id = entry.path("id").asText("");
-        if (id.isEmpty()) {
-            throw new IllegalArgumentException("an upstream without an id");
-        }
-        State state = switch (entry.path("state").asText("")) {
-            case "up" -> State.READY;
-            case "draining" -> State.DRAINING;
-            case "removed" -> State.REMOVED;
-            default -> throw new IllegalArgumentException("upstream " + id + " has no known state");
-        };
-        Upstream upstream = new Upstream(number(id), index(zones, entry.path("zone").asText("")),
-                index(kinds, entry.path("kind").asText("")), entry.path("cell").asInt(0), state,
-                entry.path("weight").asDouble(1), entry.path("started_ms").asDouble(0));
-        String address = entry.path("addr").asText("");
-        // Who is gone needs no address.
-        return new Member(upstream, address.isEmpty() && state == State.REMOVED ? null : address(address));
+    List<Member> members = new ArrayList<>(servers.size());
+    for (JsonNode entry : servers) {
+      members.add(member(entry, zones, kinds));
     }
+    return new Roster(list.get("version").longValue(), list.path("full").asBoolean(), members);
+  }
 
-    /** The same number for an id at every balancer, as the module's subsets rest on it. */
-    private static long number(String id) {
-        CRC32C low = new CRC32C();
-        low.update(id.getBytes(StandardCharsets.UTF_8));
-        return (long) id.hashCode() << Integer.SIZE | low.getValue();
+  private static Member member(JsonNode entry, List<String> zones, List<String> kinds) {
+    String id = entry.path("id").asText("");
+    if (id.isEmpty()) {
+      throw new IllegalArgumentException("an upstream without an id");
     }
+    State state =
+        switch (entry.path("state").asText("")) {
+          case "up" -> State.READY;
+          case "draining" -> State.DRAINING;
+          case "removed" -> State.REMOVED;
+          default -> throw new IllegalArgumentException("upstream " + id + " has no known state");
+        };
+    Upstream upstream =
+        new Upstream(
+            number(id),
+            index(zones, entry.path("zone").asText("")),
+            index(kinds, entry.path("kind").asText("")),
+            entry.path("cell").asInt(0),
+            state,
+            entry.path("weight").asDouble(1),
+            entry.path("started_ms").asDouble(0));
+    String address = entry.path("addr").asText("");
+    // Who is gone needs no address.
+    return new Member(
+        upstream, address.isEmpty() && state == State.REMOVED ? null : address(address));
+  }
 
-    /** A name that the settings lack gets a place of its own behind those that they have. */
-    private static int index(List<String> names, String name) {
-        int at = names.indexOf(name);
-        return at < 0 ? names.size() : at;
-    }
+  /** The same number for an id at every balancer, as the module's subsets rest on it. */
+  private static long number(String id) {
+    CRC32C low = new CRC32C();
+    low.update(id.getBytes(StandardCharsets.UTF_8));
+    return (long) id.hashCode() << Integer.SIZE | low.getValue();
+  }
+
+  /** A name that the settings lack gets a place of its own behind those that they have. */
+  private static int index(List<String> names, String name) {
+    int at = names.indexOf(name);
+    return at < 0 ? names.size() : at;
+  }
 
-    /** A numeric address with its port; there is no DNS to ask for any other. */
-    static InetSocketAddress address(String text) {
-        int colon = text.lastIndexOf(':');
-        byte[] ip = NetUtil.createByteArrayFromIpAddressString(
-                colon < 0 ? text : text.substring(0, colon));
-        if (ip == null) {
-            throw new IllegalArgumentException("'" + text + "' is no address with a port");
-        }
-        try {
-            return new InetSocketAddress(InetAddress.getByAddress(ip),
-                    Integer.parseInt(text.substring(colon + 1)));
-        } catch (UnknownHostException | IllegalArgumentException e) {
-            throw new IllegalArgumentException("'" + text + "' is no address with a port", e);
-        }
+  /** A numeric address with its port; there is no DNS to ask for any other. */
+  static InetSocketAddress address(String text) {
+    int colon = text.lastIndexOf(':');
+    byte[] ip =
+        NetUtil.createByteArrayFromIpAddressString(colon < 0 ? text : text.substring(0, colon));
+    if (ip == null) {
+      throw new IllegalArgumentException("'" + text + "' is no address with a port");
+    }
+    try {
+      return new InetSocketAddress(
+          InetAddress.getByAddress(ip), Integer.parseInt(text.substring(colon + 1)));
+    } catch (UnknownHostException | IllegalArgumentException e) {
+      throw new IllegalArgumentException("'" + text + "' is no address with a port", e);
     }
+  }
 }
--- a/src/main/java/cranedeal/node/UpstreamClient.java
+++ b/src/main/java/cranedeal/node/UpstreamClient.java
@@ -38,613 +38,688 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Carries attempts and probes to upstreams, one at a time on a connection, and reports how each ended. It
- * sends nothing twice: what breaks is an outcome.
+ * Carries attempts and probes to upstreams, one at a time on a connection, and reports how each
+ * ended. It sends nothing twice: what breaks is an outcome.
  */
 final class UpstreamClient {
 
-    static final int MAX_BODY = 64 * 1024;
-    /** The part of an upstream's idle limit after which a connection is closed from this side. */
-    private static final double IDLE_SHARE = 0.7;
-    private static final long SWEEP_MS = 1_000;
-    private static final int MILLI = 3;
-    /** The headers of a request that go on with it; the rest is a caller's own affair or worse. */
-    private static final List<String> PASSED_ON = List.of("X-Txn", "Idempotency-Key", "X-Lane", "X-Org",
-            "Cookie", "X-Resent", "X-Estimate", "X-Labels");
+  static final int MAX_BODY = 64 * 1024;
+
+  /** The part of an upstream's idle limit after which a connection is closed from this side. */
+  private static final double IDLE_SHARE = 0.7;
+
+  private static final long SWEEP_MS = 1_000;
+  private static final int MILLI = 3;
+
+  /** The headers of a request that go on with it; the rest is a caller's own affair or worse. */
+  private static final List<String> PASSED_ON =
+      List.of(
+          "X-Txn",
+          "Idempotency-Key",
+          "X-Lane",
+          "X-Org",
+          "Cookie",
+          "X-Resent",
+          "X-Estimate",
+          "X-Labels");
+
+  /**
+   * The part of a drain's grace in which what has waited for its connection is still sent: the news
+   * counts as told from when discovery had it, and finds the next call to it up to half of the
+   * grace later.
+   */
+  private static final double GRACE_SHARE = 0.5;
+
+  /**
+   * An answer that has begun must go on after so long at most, and be whole after this many times
+   * that.
+   */
+  private static final long STALL_MS = 300;
+
+  private static final int MOST_STALLS = 5;
+
+  /**
+   * How long a connection rests before its next request: a second answer may come some ms after the
+   * first, and nothing in it tells that it isn't the next request's. While none is at work it gives
+   * itself away.
+   */
+  private static final double SETTLE_MS = 20;
+
+  /** Most answers of the kind 1xx that may come ahead of one. */
+  private static final int MOST_AHEAD = 16;
+
+  /** Who waits for an attempt. */
+  interface Listener {
+
     /**
-     * The part of a drain's grace in which what has waited for its connection is still sent: the news counts
-     * as told from when discovery had it, and finds the next call to it up to half of the grace later.
+     * Called once, when the attempt is over; the response, null if none came, is not to be kept.
      */
-    private static final double GRACE_SHARE = 0.5;
-    /** An answer that has begun must go on after so long at most, and be whole after this many times that. */
-    private static final long STALL_MS = 300;
-    private static final int MOST_STALLS = 5;
+    void finished(Result result, FullHttpResponse response);
+
     /**
-     * How long a connection rests before its next request: a second answer may come some ms after the first,
-     * and nothing in it tells that it isn't the next request's. While none is at work it gives itself away.
+     * Whether the outcome is of use now; asked before what waited for its connection is written.
      */
-    private static final double SETTLE_MS = 20;
-    /** Most answers of the kind 1xx that may come ahead of one. */
-    private static final int MOST_AHEAD = 16;
+    default boolean awaits() {
+      return true;
+    }
+  }
+
+  private final EventLoop loop;
+  private final Clock clock;
+  private final Settings settings;
+  private final Sockets sockets;
+  private final Bootstrap bootstrap;
+  private final Map<Long, Target> targets = new HashMap<>();
+  private Freshness freshness;
+  private double settleMillis = SETTLE_MS;
+  private final ConnectTimeEstimate connectTime;
+
+  /** Connections that are not up yet. */
+  private int dialling;
+
+  UpstreamClient(
+      EventLoop loop, Clock clock, Settings settings, Sockets sockets, ByteBufAllocator memory) {
+    this.loop = loop;
+    this.clock = clock;
+    this.settings = settings;
+    this.sockets = sockets;
+    trustYoung(Freshness.YOUNG_MS);
+    connectTime = new ConnectTimeEstimate(settings.limits().connectTimeout());
+    int connectTimeout = (int) Math.max(1, settings.limits().connectTimeout());
+    bootstrap =
+        new Bootstrap()
+            .group(loop)
+            .channel(NioSocketChannel.class)
+            .option(ChannelOption.ALLOCATOR, memory)
+            .option(ChannelOption.TCP_NODELAY, true)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeout)
+            .handler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(Channel channel) {
+                    Connection connection = new Connection(channel);
+                    channel
+                        .pipeline()
+                        .addLast(
+                            connection.decoder,
+                            new HttpRequestEncoder(),
+                            new HttpObjectAggregator(MAX_BODY),
+                            connection);
+                  }
+                });
+    sockets.upstreamsGiveWay(this::evictIdle);
+    loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+  }
 
-    /** Who waits for an attempt. */
-    interface Listener {
+  /**
+   * An upstream, its idle connections, the longest idle first, and when it last was told to be
+   * ready.
+   */
+  private static final class Target {
+    Member member;
 
-        /** Called once, when the attempt is over; the response, null if none came, is not to be kept. */
-        void finished(Result result, FullHttpResponse response);
+    /** When this balancer was told that it wants nothing new; NaN while it does. */
+    double toldOff = Double.NaN;
 
-        /** Whether the outcome is of use now; asked before what waited for its connection is written. */
-        default boolean awaits() {
-            return true;
-        }
-    }
+    /** Whether it is on the list no more. */
+    boolean gone;
 
-    private final EventLoop loop;
-    private final Clock clock;
-    private final Settings settings;
-    private final Sockets sockets;
-    private final Bootstrap bootstrap;
-    private final Map<Long, Target> targets = new HashMap<>();
-    private Freshness freshness;
-    private double settleMillis = SETTLE_MS;
-    private final ConnectTimeEstimate connectTime;
-    /** Connections that are not up yet. */
-    private int dialling;
-
-    UpstreamClient(EventLoop loop, Clock clock, Settings settings, Sockets sockets, ByteBufAllocator memory) {
-        this.loop = loop;
-        this.clock = clock;
-        this.settings = settings;
-        this.sockets = sockets;
-        trustYoung(Freshness.YOUNG_MS);
-        connectTime = new ConnectTimeEstimate(settings.limits().connectTimeout());
-        int connectTimeout = (int) Math.max(1, settings.limits().connectTimeout());
-        bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, memory).option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeout)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        Connection connection = new Connection(channel);
-                        channel.pipeline().addLast(connection.decoder, new HttpRequestEncoder(),
-                                new HttpObjectAggregator(MAX_BODY), connection);
-                    }
-                });
-        sockets.upstreamsGiveWay(this::evictIdle);
-        loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
-    }
-
-    /** An upstream, its idle connections, the longest idle first, and when it last was told to be ready. */
-    private static final class Target {
-        Member member;
-        /** When this balancer was told that it wants nothing new; NaN while it does. */
-        double toldOff = Double.NaN;
-        /** Whether it is on the list no more. */
-        boolean gone;
-        final ArrayDeque<Connection> idle = new ArrayDeque<>();
-
-        /** Whether a connection that was opened to this still leads to the same process. */
-        boolean leadsAlike(Member to) {
-            return member.upstream().startedAt() == to.upstream().startedAt()
-                    && member.address().equals(to.address());
-        }
+    final ArrayDeque<Connection> idle = new ArrayDeque<>();
 
-        void closeIdle() {
-            // Closing may call back and take the connection out of the queue.
-            for (Connection c = idle.pollFirst(); c != null; c = idle.pollFirst()) {
-                c.channel.close();
-            }
-        }
+    /** Whether a connection that was opened to this still leads to the same process. */
+    boolean leadsAlike(Member to) {
+      return member.upstream().startedAt() == to.upstream().startedAt()
+          && member.address().equals(to.address());
     }
 
-    /**
-     * Takes in a list that counts as told since a time; what an upstream that left or drains still holds idle
-     * is of no more use.
-     */
-    void update(Roster roster, double toldSince) {
-        Map<Long, Target> left = new HashMap<>(roster.full() ? targets : Map.of());
-        for (Member member : roster.members()) {
-            left.remove(member.upstream().id());
-            if (member.upstream().state() == State.REMOVED) {
-                remove(targets.get(member.upstream().id()), toldSince);
-                continue;
-            }
-            Target target = targets.computeIfAbsent(member.upstream().id(), id -> new Target());
-            boolean moved = target.member != null && !target.leadsAlike(member);
-            target.member = member;
-            if (moved) {
-                target.closeIdle();
-            }
-            target.gone = false;
-            if (member.upstream().state() == State.READY) {
-                target.toldOff = Double.NaN;
-            } else {
-                tellOff(target, toldSince);
-            }
-        }
-        left.values().forEach(target -> remove(target, toldSince));
+    void closeIdle() {
+      // Closing may call back and take the connection out of the queue.
+      for (Connection c = idle.pollFirst(); c != null; c = idle.pollFirst()) {
+        c.channel.close();
+      }
     }
-
-    private static void remove(Target target, double toldSince) {
+  }
+
+  /**
+   * Takes in a list that counts as told since a time; what an upstream that left or drains still
+   * holds idle is of no more use.
+   */
+  void update(Roster roster, double toldSince) {
+    Map<Long, Target> left = new HashMap<>(roster.full() ? targets : Map.of());
+    for (Member member : roster.members()) {
+      left.remove(member.upstream().id());
+      if (member.upstream().state() == State.REMOVED) {
+        remove(targets.get(member.upstream().id()), toldSince);
+        continue;
+      }
+      Target target = targets.computeIfAbsent(member.upstream().id(), id -> new Target());
+      boolean moved = target.member != null && !target.leadsAlike(member);
+      target.member = member;
+      if (moved) {
+        target.closeIdle();
+      }
+      target.gone = false;
+      if (member.upstream().state() == State.READY) {
+        target.toldOff = Double.NaN;
+      } else {
         tellOff(target, toldSince);
-        if (target != null) {
-            target.gone = true;
-        }
+      }
     }
+    left.values().forEach(target -> remove(target, toldSince));
+  }
 
-    private static void tellOff(Target target, double toldSince) {
-        if (target != null && Double.isNaN(target.toldOff)) {
-            target.toldOff = toldSince;
-            target.closeIdle();
-        }
+  private static void remove(Target target, double toldSince) {
+    tellOff(target, toldSince);
+    if (target != null) {
+      target.gone = true;
     }
+  }
 
-    /**
-     * Sends a request to an upstream and waits until the given time. {@code body} and {@code listener} are
-     * used until the listener has been called.
-     */
-    Attempt send(long upstream, FullHttpRequest request, double until, Listener listener) {
-        Attempt attempt = new Attempt(request, until, listener);
-        attempt.start(targets.get(upstream));
-        return attempt;
+  private static void tellOff(Target target, double toldSince) {
+    if (target != null && Double.isNaN(target.toldOff)) {
+      target.toldOff = toldSince;
+      target.closeIdle();
     }
-
-    /** Asks an upstream how it does; the answer's body holds its load report if the site has any. */
-    void probe(long upstream, double until, Listener listener) {
-        String path = settings.reportFields().isEmpty() ? "/ping" : "/_load";
-        send(upstream, new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path,
-                Unpooled.EMPTY_BUFFER), until, listener);
+  }
+
+  /**
+   * Sends a request to an upstream and waits until the given time. {@code body} and {@code
+   * listener} are used until the listener has been called.
+   */
+  Attempt send(long upstream, FullHttpRequest request, double until, Listener listener) {
+    Attempt attempt = new Attempt(request, until, listener);
+    attempt.start(targets.get(upstream));
+    return attempt;
+  }
+
+  /** Asks an upstream how it does; the answer's body holds its load report if the site has any. */
+  void probe(long upstream, double until, Listener listener) {
+    String path = settings.reportFields().isEmpty() ? "/ping" : "/_load";
+    send(
+        upstream,
+        new DefaultFullHttpRequest(
+            HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER),
+        until,
+        listener);
+  }
+
+  void closeIdle(long upstream) {
+    Target target = targets.get(upstream);
+    if (target != null) {
+      target.closeIdle();
     }
-
-    void closeIdle(long upstream) {
-        Target target = targets.get(upstream);
-        if (target != null) {
-            target.closeIdle();
-        }
+  }
+
+  private void sweep() {
+    freshness.recover();
+    sweep(clock.now());
+  }
+
+  /** Closes what has been idle for long and forgets upstreams that left; the time is now. */
+  void sweep(double now) {
+    double oldest = now - IDLE_SHARE * settings.limits().connectionIdle();
+    for (Target target : targets.values()) {
+      while (!target.idle.isEmpty() && target.idle.peekFirst().idleSince < oldest) {
+        target.idle.pollFirst().channel.close();
+      }
     }
-
-    private void sweep() {
-        freshness.recover();
-        sweep(clock.now());
+    // Whoever left long ago and holds nothing need not be remembered.
+    double grace = settings.rules().drainGrace();
+    targets.values().removeIf(t -> t.gone && t.toldOff < now - 2 * grace && t.idle.isEmpty());
+  }
+
+  /** How many upstreams it remembers. */
+  int remembered() {
+    return targets.size();
+  }
+
+  /** How many connections it waits for. */
+  int dialling() {
+    return dialling;
+  }
+
+  /** For how long a connection that rests is young; for tests. */
+  void trustYoung(double millis) {
+    freshness = new Freshness(IDLE_SHARE * settings.limits().connectionIdle(), millis);
+  }
+
+  /** How long a connection rests before its next request; for tests. */
+  void settleFor(double millis) {
+    settleMillis = millis;
+  }
+
+  /** How long connections take to come up, for tests. */
+  ConnectTimeEstimate connectTime() {
+    return connectTime;
+  }
+
+  /** Takes it that a connection broke under a request after such a rest; for tests. */
+  void brokeAtRest(double rested) {
+    freshness.broke(rested);
+  }
+
+  /** Has the kernel hold no more than so many bytes unsent; for tests. */
+  void sendBuffer(int bytes) {
+    bootstrap.option(ChannelOption.SO_SNDBUF, bytes);
+  }
+
+  /** Closes the connection that has been idle for longest; false if there is none. */
+  private boolean evictIdle() {
+    Target longest = null;
+    for (Target target : targets.values()) {
+      if (!target.idle.isEmpty()
+          && (longest == null
+              || target.idle.peekFirst().idleSince < longest.idle.peekFirst().idleSince)) {
+        longest = target;
+      }
     }
+    if (longest != null) {
+      longest.idle.pollFirst().channel.close();
+    }
+    return longest != null;
+  }
 
-    /** Closes what has been idle for long and forgets upstreams that left; the time is now. */
-    void sweep(double now) {
-        double oldest = now - IDLE_SHARE * settings.limits().connectionIdle();
-        for (Target target : targets.values()) {
-            while (!target.idle.isEmpty() && target.idle.peekFirst().idleSince < oldest) {
-                target.idle.pollFirst().channel.close();
-            }
-        }
-        // Whoever left long ago and holds nothing need not be remembered.
-        double grace = settings.rules().drainGrace();
-        targets.values().removeIf(t -> t.gone && t.toldOff < now - 2 * grace && t.idle.isEmpty());
+  /** One request on its way to one upstream. */
+  final class Attempt {
+
+    private final FullHttpRequest request;
+    private final double until;
+    private final Listener listener;
+    private final Future<?> expiry;
+    private Target target;
+    private Channel channel;
+
+    /** Connections opened for it, the first one first. */
+    private final List<Channel> dialled = new ArrayList<>(2);
+
+    private boolean written;
+    private boolean over;
+
+    /** When it was written, and how long its connection had rested by then; NaN for a new one. */
+    private double begunAt = Double.NaN;
+
+    private double rested = Double.NaN;
+
+    private Attempt(FullHttpRequest request, double until, Listener listener) {
+      this.request = request;
+      this.until = until;
+      this.listener = listener;
+      expiry = loop.schedule(this::expire, clock.nanosUntil(until), TimeUnit.NANOSECONDS);
     }
 
-    /** How many upstreams it remembers. */
-    int remembered() {
-        return targets.size();
+    private void start(Target to) {
+      target = to;
+      if (to == null) {
+        end(Result.CONNECT_FAILED, null);
+        return;
+      }
+      Connection idle = takeIdle(to, resendable());
+      if (idle != null) {
+        begin(idle);
+      } else if (!sockets.roomForUpstream(clock.now())) {
+        // A shortage here says nothing of the upstream.
+        end(Result.NOT_SENT, null);
+      } else {
+        if (!dial(to.member)) {
+          // There is no socket, for want of a descriptor.
+          end(Result.NOT_SENT, null);
+          return;
+        }
+        long wait = (long) (connectTime.retryAfter() * 1_000);
+        loop.schedule(this::dialAgain, wait, TimeUnit.MICROSECONDS);
+      }
     }
 
-    /** How many connections it waits for. */
-    int dialling() {
-        return dialling;
+    /**
+     * The first connection is late. Another may be up sooner; whichever comes second is kept idle.
+     */
+    private void dialAgain() {
+      boolean waits = !over && Double.isNaN(begunAt) && Double.isNaN(target.toldOff);
+      if (waits && sockets.roomForUpstream(clock.now())) {
+        dial(target.member);
+      }
     }
 
-    /** For how long a connection that rests is young; for tests. */
-    void trustYoung(double millis) {
-        freshness = new Freshness(IDLE_SHARE * settings.limits().connectionIdle(), millis);
+    /** Opens a connection for this attempt; false if there is no socket for it. */
+    private boolean dial(Member member) {
+      ChannelFuture connect = bootstrap.connect(member.address());
+      if (connect.cause() instanceof ChannelException) {
+        return false;
+      }
+      Channel opened = connect.channel();
+      sockets.count(opened);
+      dialled.add(opened);
+      dialling++;
+      double dialledAt = clock.now();
+      connect.addListener(
+          up -> {
+            dialling--;
+            if (up.isSuccess()) {
+              connectTime.observe(clock.now() - dialledAt);
+              Connection connection = opened.pipeline().get(Connection.class);
+              connection.to = member;
+              if (!Double.isNaN(begunAt)) {
+                connection.park(target);
+              } else if (over) {
+                opened.close();
+              } else if (!listener.awaits()) {
+                giveUp(Result.NOT_SENT);
+              } else {
+                begin(connection);
+              }
+            } else if (Double.isNaN(begunAt) && opened == dialled.get(0)) {
+              // Whoever chose the server reckons with no more than the time-out of one connection.
+              giveUp(Result.CONNECT_FAILED);
+            }
+          });
+      return true;
     }
 
-    /** How long a connection rests before its next request; for tests. */
-    void settleFor(double millis) {
-        settleMillis = millis;
+    /** Writes the request, unless it has waited too long for its connection. */
+    private void begin(Connection connection) {
+      channel = connection.channel;
+      double now = clock.now();
+      begunAt = now;
+      rested = now - connection.idleSince;
+      // NaN compares false: a ready upstream takes anything.
+      boolean drained = now >= target.toldOff + GRACE_SHARE * settings.rules().drainGrace();
+      // What came up meanwhile may lead to where the upstream was, and somebody else be there by
+      // now.
+      if (drained || now >= until || !target.leadsAlike(connection.to)) {
+        connection.park(target);
+        end(Result.CONNECT_FAILED, null);
+        return;
+      }
+      connection.carry(this);
+      FullHttpRequest copy =
+          new DefaultFullHttpRequest(
+              HttpVersion.HTTP_1_1,
+              request.method(),
+              request.uri(),
+              request.content().retainedDuplicate());
+      copy.headers().set("Host", target.member.address().getHostString());
+      for (String name : PASSED_ON) {
+        String value = request.headers().get(name);
+        if (value != null) {
+          copy.headers().set(name, value);
+        }
+      }
+      if (copy.content().isReadable() || copy.method().equals(HttpMethod.POST)) {
+        copy.headers().set("Content-Length", copy.content().readableBytes());
+      }
+      // Rounded down: the upstream must not take this balancer to be more patient than it is.
+      copy.headers().set("X-Remaining", seconds(until - now));
+      channel
+          .writeAndFlush(copy)
+          .addListener(
+              write -> {
+                written = write.isSuccess();
+                if (!written) {
+                  broke();
+                }
+              });
     }
 
-    /** How long connections take to come up, for tests. */
-    ConnectTimeEstimate connectTime() {
-        return connectTime;
+    /** Whether the module may ever send this again once it may have run. */
+    private boolean resendable() {
+      return !request.method().equals(HttpMethod.POST)
+          || request.headers().contains("Idempotency-Key");
     }
 
-    /** Takes it that a connection broke under a request after such a rest; for tests. */
-    void brokeAtRest(double rested) {
+    /** The connection is of no more use: what was not written whole can't have run. */
+    private void broke() {
+      if (!over && !Double.isNaN(rested) && clock.now() - begunAt < Freshness.AT_ONCE_MS) {
         freshness.broke(rested);
+      }
+      giveUp(written ? Result.RESET : Result.CONNECT_FAILED);
     }
 
-    /** Has the kernel hold no more than so many bytes unsent; for tests. */
-    void sendBuffer(int bytes) {
-        bootstrap.option(ChannelOption.SO_SNDBUF, bytes);
+    private void expire() {
+      giveUp(written ? Result.TIMEOUT : Result.CONNECT_FAILED);
     }
 
-    /** Closes the connection that has been idle for longest; false if there is none. */
-    private boolean evictIdle() {
-        Target longest = null;
-        for (Target target : targets.values()) {
-            if (!target.idle.isEmpty() && (longest == null
-                    || target.idle.peekFirst().idleSince < longest.idle.peekFirst().idleSince)) {
-                longest = target;
-            }
-        }
-        if (longest != null) {
-            longest.idle.pollFirst().channel.close();
-        }
-        return longest != null;
-    }
-
-    /** One request on its way to one upstream. */
-    final class Attempt {
-
-        private final FullHttpRequest request;
-        private final double until;
-        private final Listener listener;
-        private final Future<?> expiry;
-        private Target target;
-        private Channel channel;
-        /** Connections opened for it, the first one first. */
-        private final List<Channel> dialled = new ArrayList<>(2);
-        private boolean written;
-        private boolean over;
-        /** When it was written, and how long its connection had rested by then; NaN for a new one. */
-        private double begunAt = Double.NaN;
-        private double rested = Double.NaN;
-
-        private Attempt(FullHttpRequest request, double until, Listener listener) {
-            this.request = request;
-            this.until = until;
-            this.listener = listener;
-            expiry = loop.schedule(this::expire, clock.nanosUntil(until), TimeUnit.NANOSECONDS);
-        }
+    /** Nobody waits for the request any more: what still waits for its connection is not sent. */
+    void withdraw() {
+      if (Double.isNaN(begunAt)) {
+        giveUp(Result.NOT_SENT);
+      }
+    }
 
-        private void start(Target to) {
-            target = to;
-            if (to == null) {
-                end(Result.CONNECT_FAILED, null);
-                return;
-            }
-            Connection idle = takeIdle(to, resendable());
-            if (idle != null) {
-                begin(idle);
-            } else if (!sockets.roomForUpstream(clock.now())) {
-                // A shortage here says nothing of the upstream.
-                end(Result.NOT_SENT, null);
-            } else {
-                if (!dial(to.member)) {
-                    // There is no socket, for want of a descriptor.
-                    end(Result.NOT_SENT, null);
-                    return;
-                }
-                long wait = (long) (connectTime.retryAfter() * 1_000);
-                loop.schedule(this::dialAgain, wait, TimeUnit.MICROSECONDS);
-            }
-        }
+    /** Stops waiting, and lets the upstream know by closing the connection. */
+    void cancel() {
+      giveUp(Result.CANCELLED);
+    }
 
-        /** The first connection is late. Another may be up sooner; whichever comes second is kept idle. */
-        private void dialAgain() {
-            boolean waits = !over && Double.isNaN(begunAt) && Double.isNaN(target.toldOff);
-            if (waits && sockets.roomForUpstream(clock.now())) {
-                dial(target.member);
-            }
-        }
+    /**
+     * Ends the attempt with its connection. That is closed first: what the module sends in answer
+     * to the outcome would otherwise overtake it, and be a second copy.
+     */
+    private void giveUp(Result result) {
+      if (!over) {
+        over = true;
+        expiry.cancel(false);
+        if (channel != null) {
+          channel.close();
+        } else {
+          List.copyOf(dialled).forEach(Channel::close);
+        }
+        listener.finished(result, null);
+      }
+    }
 
-        /** Opens a connection for this attempt; false if there is no socket for it. */
-        private boolean dial(Member member) {
-            ChannelFuture connect = bootstrap.connect(member.address());
-            if (connect.cause() instanceof ChannelException) {
-                return false;
-            }
-            Channel opened = connect.channel();
-            sockets.count(opened);
-            dialled.add(opened);
-            dialling++;
-            double dialledAt = clock.now();
-            connect.addListener(up -> {
-                dialling--;
-                if (up.isSuccess()) {
-                    connectTime.observe(clock.now() - dialledAt);
-                    Connection connection = opened.pipeline().get(Connection.class);
-                    connection.to = member;
-                    if (!Double.isNaN(begunAt)) {
-                        connection.park(target);
-                    } else if (over) {
-                        opened.close();
-                    } else if (!listener.awaits()) {
-                        giveUp(Result.NOT_SENT);
-                    } else {
-                        begin(connection);
-                    }
-                } else if (Double.isNaN(begunAt) && opened == dialled.get(0)) {
-                    // Whoever chose the server reckons with no more than the time-out of one connection.
-                    giveUp(Result.CONNECT_FAILED);
-                }
-            });
-            return true;
-        }
+    private void answered(FullHttpResponse response) {
+      if (!Double.isNaN(rested)) {
+        freshness.held(rested);
+      }
+      int status = response.status().code();
+      boolean turnedAway =
+          (status == 503 || status == 504) && "1".equals(response.headers().get("X-Turned-Away"));
+      Result result = turnedAway ? Result.FULL : status == 200 ? Result.OK : Result.ERROR;
+      end(result, response);
+    }
 
-        /** Writes the request, unless it has waited too long for its connection. */
-        private void begin(Connection connection) {
-            channel = connection.channel;
-            double now = clock.now();
-            begunAt = now;
-            rested = now - connection.idleSince;
-            // NaN compares false: a ready upstream takes anything.
-            boolean drained = now >= target.toldOff + GRACE_SHARE * settings.rules().drainGrace();
-            // What came up meanwhile may lead to where the upstream was, and somebody else be there by now.
-            if (drained || now >= until || !target.leadsAlike(connection.to)) {
-                connection.park(target);
-                end(Result.CONNECT_FAILED, null);
-                return;
-            }
-            connection.carry(this);
-            FullHttpRequest copy = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, request.method(),
-                    request.uri(), request.content().retainedDuplicate());
-            copy.headers().set("Host", target.member.address().getHostString());
-            for (String name : PASSED_ON) {
-                String value = request.headers().get(name);
-                if (value != null) {
-                    copy.headers().set(name, value);
-                }
-            }
-            if (copy.content().isReadable() || copy.method().equals(HttpMethod.POST)) {
-                copy.headers().set("Content-Length", copy.content().readableBytes());
-            }
-            // Rounded down: the upstream must not take this balancer to be more patient than it is.
-            copy.headers().set("X-Remaining", seconds(until - now));
-            channel.writeAndFlush(copy).addListener(write -> {
-                written = write.isSuccess();
-                if (!written) {
-                    broke();
-                }
-            });
-        }
+    private void end(Result result, FullHttpResponse response) {
+      if (!over) {
+        over = true;
+        expiry.cancel(false);
+        listener.finished(result, response);
+      }
+    }
+  }
+
+  /** The connection that was given back last of those that may be used again, or null. */
+  private Connection takeIdle(Target target, boolean resendable) {
+    double now = clock.now();
+    for (Iterator<Connection> last = target.idle.descendingIterator(); last.hasNext(); ) {
+      Connection c = last.next();
+      double rested = now - c.idleSince;
+      if (rested < settleMillis) {
+        continue;
+      }
+      if (!freshness.trusts(rested, resendable)) {
+        // The others have rested for longer; one goes for the new one, so that they don't pile up.
+        target.idle.pollFirst().channel.close();
+        return null;
+      }
+      last.remove();
+      // The upstream may have closed it, and what is written to it then would count as run.
+      Sockets.readNow(c.channel);
+      return c.channel.isActive() ? c : takeIdle(target, resendable);
+    }
+    return null;
+  }
 
-        /** Whether the module may ever send this again once it may have run. */
-        private boolean resendable() {
-            return !request.method().equals(HttpMethod.POST) || request.headers().contains("Idempotency-Key");
-        }
+  /** Whole ms as a decimal number of seconds. */
+  static String seconds(double millis) {
+    return BigDecimal.valueOf((long) millis, MILLI).toPlainString();
+  }
 
-        /** The connection is of no more use: what was not written whole can't have run. */
-        private void broke() {
-            if (!over && !Double.isNaN(rested) && clock.now() - begunAt < Freshness.AT_ONCE_MS) {
-                freshness.broke(rested);
-            }
-            giveUp(written ? Result.RESET : Result.CONNECT_FAILED);
-        }
+  /** A connection to an upstream; it belongs to one attempt at a time. */
+  private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse>
+      implements UpstreamResponseDecoder.Connection {
 
-        private void expire() {
-            giveUp(written ? Result.TIMEOUT : Result.CONNECT_FAILED);
-        }
+    final Channel channel;
+    final UpstreamResponseDecoder decoder = new UpstreamResponseDecoder(this);
 
-        /** Nobody waits for the request any more: what still waits for its connection is not sent. */
-        void withdraw() {
-            if (Double.isNaN(begunAt)) {
-                giveUp(Result.NOT_SENT);
-            }
-        }
+    /** When it was last given back; NaN while it is new. */
+    double idleSince = Double.NaN;
 
-        /** Stops waiting, and lets the upstream know by closing the connection. */
-        void cancel() {
-            giveUp(Result.CANCELLED);
-        }
+    /** What it was opened to. */
+    private Member to;
 
-        /**
-         * Ends the attempt with its connection. That is closed first: what the module sends in answer to the
-         * outcome would otherwise overtake it, and be a second copy.
-         */
-        private void giveUp(Result result) {
-            if (!over) {
-                over = true;
-                expiry.cancel(false);
-                if (channel != null) {
-                    channel.close();
-                } else {
-                    List.copyOf(dialled).forEach(Channel::close);
-                }
-                listener.finished(result, null);
-            }
-        }
+    private Attempt carried;
+    private Target home;
 
-        private void answered(FullHttpResponse response) {
-            if (!Double.isNaN(rested)) {
-                freshness.held(rested);
-            }
-            int status = response.status().code();
-            boolean turnedAway = (status == 503 || status == 504)
-                    && "1".equals(response.headers().get("X-Turned-Away"));
-            Result result = turnedAway ? Result.FULL : status == 200 ? Result.OK : Result.ERROR;
-            end(result, response);
-        }
+    /** Whether an answer has come in part, and more since the last check; the checks so far. */
+    private boolean amid;
 
-        private void end(Result result, FullHttpResponse response) {
-            if (!over) {
-                over = true;
-                expiry.cancel(false);
-                listener.finished(result, response);
-            }
-        }
-    }
+    private boolean moved;
+    private int checks;
+    private int informational;
+    private Future<?> check;
 
-    /** The connection that was given back last of those that may be used again, or null. */
-    private Connection takeIdle(Target target, boolean resendable) {
-        double now = clock.now();
-        for (Iterator<Connection> last = target.idle.descendingIterator(); last.hasNext();) {
-            Connection c = last.next();
-            double rested = now - c.idleSince;
-            if (rested < settleMillis) {
-                continue;
-            }
-            if (!freshness.trusts(rested, resendable)) {
-                // The others have rested for longer; one goes for the new one, so that they don't pile up.
-                target.idle.pollFirst().channel.close();
-                return null;
-            }
-            last.remove();
-            // The upstream may have closed it, and what is written to it then would count as run.
-            Sockets.readNow(c.channel);
-            return c.channel.isActive() ? c : takeIdle(target, resendable);
-        }
-        return null;
+    Connection(Channel channel) {
+      this.channel = channel;
     }
 
-    /** Whole ms as a decimal number of seconds. */
-    static String seconds(double millis) {
-        return BigDecimal.valueOf((long) millis, MILLI).toPlainString();
-    }
-
-    /** A connection to an upstream; it belongs to one attempt at a time. */
-    private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse>
-            implements UpstreamResponseDecoder.Connection {
-
-        final Channel channel;
-        final UpstreamResponseDecoder decoder = new UpstreamResponseDecoder(this);
-        /** When it was last given back; NaN while it is new. */
-        double idleSince = Double.NaN;
-        /** What it was opened to. */
-        private Member to;
-        private Attempt carried;
-        private Target home;
-        /** Whether an answer has come in part, and more since the last check; the checks so far. */
-        private boolean amid;
-        private boolean moved;
-        private int checks;
-        private int informational;
-        private Future<?> check;
-
-        Connection(Channel channel) {
-            this.channel = channel;
-        }
-
-        void carry(Attempt attempt) {
-            carried = attempt;
-            home = attempt.target;
-            decoder.expectBeginning();
-            informational = 0;
-            checks = 0;
-        }
+    void carry(Attempt attempt) {
+      carried = attempt;
+      home = attempt.target;
+      decoder.expectBeginning();
+      informational = 0;
+      checks = 0;
+    }
 
-        /** Keeps the connection for the next attempt. */
-        void park(Target target) {
-            carried = null;
-            home = target;
-            if (!Double.isNaN(target.toldOff) || !target.leadsAlike(to)) {
-                channel.close();
-                return;
-            }
-            idleSince = clock.now();
-            target.idle.addLast(this);
-        }
+    /** Keeps the connection for the next attempt. */
+    void park(Target target) {
+      carried = null;
+      home = target;
+      if (!Double.isNaN(target.toldOff) || !target.leadsAlike(to)) {
+        channel.close();
+        return;
+      }
+      idleSince = clock.now();
+      target.idle.addLast(this);
+    }
 
-        @Override
-        public boolean expectsAnswer() {
-            return carried != null;
-        }
+    @Override
+    public boolean expectsAnswer() {
+      return carried != null;
+    }
 
-        /** What came is no answer: the attempt may have run, and the connection is of no further use. */
-        @Override
-        public void spoilt() {
-            Attempt attempt = carried;
-            carried = null;
-            channel.close();
-            if (attempt != null) {
-                attempt.giveUp(attempt.written ? Result.ERROR : Result.CONNECT_FAILED);
-            }
-        }
+    /**
+     * What came is no answer: the attempt may have run, and the connection is of no further use.
+     */
+    @Override
+    public void spoilt() {
+      Attempt attempt = carried;
+      carried = null;
+      channel.close();
+      if (attempt != null) {
+        attempt.giveUp(attempt.written ? Result.ERROR : Result.CONNECT_FAILED);
+      }
+    }
 
-        @Override
-        public void bytesCame() {
-            amid = true;
-            moved = true;
-        }
+    @Override
+    public void bytesCame() {
+      amid = true;
+      moved = true;
+    }
 
-        /** Upstreams write an answer at once: one that stays in parts will not be whole in time. */
-        @Override
-        public void channelReadComplete(ChannelHandlerContext ctx) {
-            if (amid && carried != null && check == null) {
-                moved = false;
-                check = loop.schedule(this::checkProgress, STALL_MS, TimeUnit.MILLISECONDS);
-            }
-            ctx.fireChannelReadComplete();
-        }
+    /** Upstreams write an answer at once: one that stays in parts will not be whole in time. */
+    @Override
+    public void channelReadComplete(ChannelHandlerContext ctx) {
+      if (amid && carried != null && check == null) {
+        moved = false;
+        check = loop.schedule(this::checkProgress, STALL_MS, TimeUnit.MILLISECONDS);
+      }
+      ctx.fireChannelReadComplete();
+    }
 
-        private void checkProgress() {
-            check = null;
-            if (!moved || ++checks >= MOST_STALLS) {
-                spoilt();
-            } else {
-                moved = false;
-                check = loop.schedule(this::checkProgress, STALL_MS, TimeUnit.MILLISECONDS);
-            }
-        }
+    private void checkProgress() {
+      check = null;
+      if (!moved || ++checks >= MOST_STALLS) {
+        spoilt();
+      } else {
+        moved = false;
+        check = loop.schedule(this::checkProgress, STALL_MS, TimeUnit.MILLISECONDS);
+      }
+    }
 
-        /** The message is whole, and with it what had come of it. */
-        private void endMessage() {
-            amid = decoder.holdsMore();
-            if (amid) {
-                decoder.expectNoBeginning();
-            } else {
-                decoder.expectBeginning();
-            }
-            if (check != null) {
-                check.cancel(false);
-                check = null;
-            }
-        }
+    /** The message is whole, and with it what had come of it. */
+    private void endMessage() {
+      amid = decoder.holdsMore();
+      if (amid) {
+        decoder.expectNoBeginning();
+      } else {
+        decoder.expectBeginning();
+      }
+      if (check != null) {
+        check.cancel(false);
+        check = null;
+      }
+    }
 
-        @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            endMessage();
-            if (carried != null && !channel.isActive()) {
-                // What the end of the connection completes is no answer: a crash would look like that too.
-                carried.broke();
-                return;
-            }
-            // Nothing is served before a request's last byte is out: that answers another's.
-            if (carried == null || !response.decoderResult().isSuccess()
-                    || !carried.written && response.status().code() == 200) {
-                spoilt();
-                return;
-            }
-            if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-                if (response.status().code() == 101 || ++informational > MOST_AHEAD) {
-                    spoilt();
-                }
-                return;
-            }
-            Attempt attempt = carried;
-            carried = null;
-            boolean keep = !attempt.over && attempt.written && HttpUtil.isKeepAlive(response)
-                    && !decoder.holdsMore();
-            attempt.answered(response);
-            // Only now: the module's next send must not read from a connection that is being read.
-            if (keep && channel.isActive()) {
-                park(home);
-            } else {
-                channel.close();
-            }
-        }
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+      endMessage();
+      if (carried != null && !channel.isActive()) {
+        // What the end of the connection completes is no answer: a crash would look like that too.
+        carried.broke();
+        return;
+      }
+      // Nothing is served before a request's last byte is out: that answers another's.
+      if (carried == null
+          || !response.decoderResult().isSuccess()
+          || !carried.written && response.status().code() == 200) {
+        spoilt();
+        return;
+      }
+      if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
+        if (response.status().code() == 101 || ++informational > MOST_AHEAD) {
+          spoilt();
+        }
+        return;
+      }
+      Attempt attempt = carried;
+      carried = null;
+      boolean keep =
+          !attempt.over
+              && attempt.written
+              && HttpUtil.isKeepAlive(response)
+              && !decoder.holdsMore();
+      attempt.answered(response);
+      // Only now: the module's next send must not read from a connection that is being read.
+      if (keep && channel.isActive()) {
+        park(home);
+      } else {
+        channel.close();
+      }
+    }
 
-        @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-            if (check != null) {
-                check.cancel(false);
-            }
-            if (home != null) {
-                home.idle.remove(this);
-            }
-            if (carried != null) {
-                carried.broke();
-            }
-            ctx.fireChannelInactive();
-        }
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+      if (check != null) {
+        check.cancel(false);
+      }
+      if (home != null) {
+        home.idle.remove(this);
+      }
+      if (carried != null) {
+        carried.broke();
+      }
+      ctx.fireChannelInactive();
+    }
 
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (cause instanceof IOException || cause instanceof PrematureChannelClosureException) {
-                // The end of the channel tells the attempt.
-                channel.close();
-            } else {
-                // An answer that is too large or no HTTP: the upstream has had the request.
-                spoilt();
-            }
-        }
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+      if (cause instanceof IOException || cause instanceof PrematureChannelClosureException) {
+        // The end of the channel tells the attempt.
+        channel.close();
+      } else {
+        // An answer that is too large or no HTTP: the upstream has had the request.
+        spoilt();
+      }
     }
+  }
 }
--- a/src/main/java/cranedeal/scale/FitCommand.java
+++ b/src/main/java/cranedeal/scale/FitCommand.java
@@ -16,87 +16,111 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Draws a slope through measured points: one line for each seed, and how far their slopes lie apart. */
-@Command(name = "fit", description = "Fits a straight line through points of JSON lines.",
-        mixinStandardHelpOptions = true)
+/**
+ * Draws a slope through measured points: one line for each seed, and how far their slopes lie
+ * apart.
+ */
+@Command(
+    name = "fit",
+    description = "Fits a straight line through points of JSON lines.",
+    mixinStandardHelpOptions = true)
 final class FitCommand implements Callable<Integer> {
 
-    @Option(names = "--x", required = true, description = "Such as parameters.list.")
-    private String x;
-    @Option(names = "--y", required = true, description = "Such as results.call_us.median.")
-    private String y;
-    @Option(names = "--where", description = "Only points with this, such as parameters.phase=rest.")
-    private List<String> where = List.of();
-    @Parameters(arity = "1..*", description = "Files of JSON lines.")
-    private List<Path> files;
+  @Option(names = "--x", required = true, description = "Such as parameters.list.")
+  private String x;
 
-    @Override
-    public Integer call() throws IOException {
-        Map<Long, List<double[]>> runs = new TreeMap<>();
-        for (Path file : files) {
-            if (!Files.isReadable(file)) {
-                throw new ScaleException("can't read " + file);
-            }
-            for (String line : Files.readAllLines(file)) {
-                JsonNode point = Point.JSON.readTree(line);
-                JsonNode atX = at(point, x);
-                JsonNode atY = at(point, y);
-                if (where.stream().allMatch(wanted -> holds(point, wanted)) && atX.isNumber()
-                        && atY.isNumber()) {
-                    runs.computeIfAbsent(point.path("seed").asLong(), seed -> new ArrayList<>())
-                            .add(new double[] {atX.asDouble(), atY.asDouble()});
-                }
-            }
-        }
-        if (runs.isEmpty()) {
-            throw new ScaleException("no point has " + x + " and " + y);
+  @Option(names = "--y", required = true, description = "Such as results.call_us.median.")
+  private String y;
+
+  @Option(names = "--where", description = "Only points with this, such as parameters.phase=rest.")
+  private List<String> where = List.of();
+
+  @Parameters(arity = "1..*", description = "Files of JSON lines.")
+  private List<Path> files;
+
+  @Override
+  public Integer call() throws IOException {
+    Map<Long, List<double[]>> runs = new TreeMap<>();
+    for (Path file : files) {
+      if (!Files.isReadable(file)) {
+        throw new ScaleException("can't read " + file);
+      }
+      for (String line : Files.readAllLines(file)) {
+        JsonNode point = Point.JSON.readTree(line);
+        JsonNode atX = at(point, x);
+        JsonNode atY = at(point, y);
+        if (where.stream().allMatch(wanted -> holds(point, wanted))
+            && atX.isNumber()
+            && atY.isNumber()) {
+          runs.computeIfAbsent(point.path("seed").asLong(), seed -> new ArrayList<>())
+              .add(new double[] {atX.asDouble(), atY.asDouble()});
         }
-        System.out.println(describe(runs));
-        return 0;
+      }
+    }
+    if (runs.isEmpty()) {
+      throw new ScaleException("no point has " + x + " and " + y);
     }
+    System.out.println(describe(runs));
+    return 0;
+  }
 
-    /** The points, and slopes and intercepts over runs: median, least and most. */
-    static String describe(Map<Long, List<double[]>> runs) {
-        StringBuilder text = new StringBuilder();
-        List<LeastSquares> fits = new ArrayList<>();
-        runs.forEach((seed, points) -> {
-            LeastSquares fit = LeastSquares.fit(points.stream().mapToDouble(p -> p[0]).toArray(),
-                    points.stream().mapToDouble(p -> p[1]).toArray());
-            fits.add(fit);
-            text.append("seed %d:".formatted(seed));
-            points.stream().sorted((a, b) -> Double.compare(a[0], b[0]))
-                    .forEach(p -> text.append(" %s".formatted(number(p[0]) + "->" + number(p[1]))));
-            text.append("; r2 %.4f%n".formatted(fit.r2()));
+  /** The points, and slopes and intercepts over runs: median, least and most. */
+  static String describe(Map<Long, List<double[]>> runs) {
+    StringBuilder text = new StringBuilder();
+    List<LeastSquares> fits = new ArrayList<>();
+    runs.forEach(
+        (seed, points) -> {
+          LeastSquares fit =
+              LeastSquares.fit(
+                  points.stream().mapToDouble(p -> p[0]).toArray(),
+                  points.stream().mapToDouble(p -> p[1]).toArray());
+          fits.add(fit);
+          text.append("seed %d:".formatted(seed));
+          points.stream()
+              .sorted((a, b) -> Double.compare(a[0], b[0]))
+              .forEach(p -> text.append(" %s".formatted(number(p[0]) + "->" + number(p[1]))));
+          text.append("; r2 %.4f%n".formatted(fit.r2()));
         });
-        return text + "slope " + spread(fits.stream().mapToDouble(LeastSquares::slope))
-                + ", intercept " + spread(fits.stream().mapToDouble(LeastSquares::intercept))
-                + ", of " + fits.size() + " runs";
-    }
+    return text
+        + "slope "
+        + spread(fits.stream().mapToDouble(LeastSquares::slope))
+        + ", intercept "
+        + spread(fits.stream().mapToDouble(LeastSquares::intercept))
+        + ", of "
+        + fits.size()
+        + " runs";
+  }
 
-    private static String spread(DoubleStream values) {
-        double[] sorted = values.sorted().toArray();
-        double median = (sorted[(sorted.length - 1) / 2] + sorted[sorted.length / 2]) / 2;
-        return number(median) + " (" + number(sorted[0]) + " to " + number(sorted[sorted.length - 1]) + ")";
-    }
+  private static String spread(DoubleStream values) {
+    double[] sorted = values.sorted().toArray();
+    double median = (sorted[(sorted.length - 1) / 2] + sorted[sorted.length / 2]) / 2;
+    return number(median)
+        + " ("
+        + number(sorted[0])
+        + " to "
+        + number(sorted[sorted.length - 1])
+        + ")";
+  }
 
-    private static String number(double value) {
-        return String.format(Locale.ROOT, "%.4g", value).replaceAll("(\\.\\d*?)0+$", "$1")
-                .replaceAll("\\.$", "");
-    }
+  private static String number(double value) {
+    return String.format(Locale.ROOT, "%.4g", value)
+        .replaceAll("(\\.\\d*?)0+$", "$1")
+        .replaceAll("\\.$", "");
+  }
 
-    private static JsonNode at(JsonNode point, String path) {
-        JsonNode node = point;
-        for (String name : Arrays.asList(path.split("\\."))) {
-            node = node.path(name);
-        }
-        return node;
+  private static JsonNode at(JsonNode point, String path) {
+    JsonNode node = point;
+    for (String name : Arrays.asList(path.split("\\."))) {
+      node = node.path(name);
     }
+    return node;
+  }
 
-    private static boolean holds(JsonNode point, String wanted) {
-        int equals = wanted.indexOf('=');
-        if (equals < 0) {
-            throw new ScaleException("--where wants name=value, not " + wanted);
-        }
-        return at(point, wanted.substring(0, equals)).asText().equals(wanted.substring(equals + 1));
+  private static boolean holds(JsonNode point, String wanted) {
+    int equals = wanted.indexOf('=');
+    if (equals < 0) {
+      throw new ScaleException("--where wants name=value, not " + wanted);
     }
+    return at(point, wanted.substring(0, equals)).asText().equals(wanted.substring(equals + 1));
+  }
 }
--- a/src/main/java/cranedeal/scale/Fleet.java
+++ b/src/main/java/cranedeal/scale/Fleet.java
@@ -6,64 +6,81 @@
 import java.util.stream.Collectors;
 
 /**
- * A made-up fleet: the upstreams of one list in discovery's form and the configuration of a balancer in front
- * of them, both as the protocol and deployment pages have them.
+ * A made-up fleet: the upstreams of one list in discovery's form and the configuration of a
+ * balancer in front of them, both as the protocol and deployment pages have them.
  */
 final class Fleet {
 
-    /** What is known of one upstream; its number gives its id and type. */
-    record Entry(int number, int zone, String state, long startedMillis, String address) {
+  /** What is known of one upstream; its number gives its id and type. */
+  record Entry(int number, int zone, String state, long startedMillis, String address) {
 
-        /** One at an address that its number gives, where nobody need listen. */
-        Entry(int number, int zone, String state, long startedMillis) {
-            this(number, zone, state, startedMillis, "127.%d.%d.%d:8081".formatted(
-                    100 + (number >> 16), number >> 8 & 0xff, number & 0xff));
-        }
+    /** One at an address that its number gives, where nobody need listen. */
+    Entry(int number, int zone, String state, long startedMillis) {
+      this(
+          number,
+          zone,
+          state,
+          startedMillis,
+          "127.%d.%d.%d:8081".formatted(100 + (number >> 16), number >> 8 & 0xff, number & 0xff));
+    }
 
-        String json() {
-            return ("{\"id\":\"s-%08x\",\"addr\":\"%s\",\"zone\":\"%s\",\"kind\":\"m%d\","
-                    + "\"cell\":%d,\"state\":\"%s\",\"weight\":1.0,\"started_ms\":%d}").formatted(
-                    number * 0x9e3779b1, address, zoneName(zone), number % KINDS, number / CELL, state,
-                    startedMillis);
-        }
+    String json() {
+      return ("{\"id\":\"s-%08x\",\"addr\":\"%s\",\"zone\":\"%s\",\"kind\":\"m%d\","
+              + "\"cell\":%d,\"state\":\"%s\",\"weight\":1.0,\"started_ms\":%d}")
+          .formatted(
+              number * 0x9e3779b1,
+              address,
+              zoneName(zone),
+              number % KINDS,
+              number / CELL,
+              state,
+              startedMillis);
+    }
 
-        Entry with(String newState, long newStart) {
-            return new Entry(number, zone, newState, newStart, address);
-        }
+    Entry with(String newState, long newStart) {
+      return new Entry(number, zone, newState, newStart, address);
     }
+  }
 
-    private static final int KINDS = 2;
-    /** Upstreams that share which keys they have seen. */
-    private static final int CELL = 4;
+  private static final int KINDS = 2;
 
-    private Fleet() {
-    }
+  /** Upstreams that share which keys they have seen. */
+  private static final int CELL = 4;
 
-    /** A list in which zones take turns. */
-    static List<Entry> entries(int count, int zones) {
-        List<Entry> entries = new ArrayList<>(count);
-        for (int i = 0; i < count; i++) {
-            entries.add(new Entry(i, i % zones, "up", 0));
-        }
-        return entries;
-    }
+  private Fleet() {}
 
-    static String list(long version, boolean full, Iterable<Entry> entries) {
-        List<String> parts = new ArrayList<>();
-        entries.forEach(entry -> parts.add(entry.json()));
-        return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}".formatted(version, full,
-                String.join(",", parts));
+  /** A list in which zones take turns. */
+  static List<Entry> entries(int count, int zones) {
+    List<Entry> entries = new ArrayList<>(count);
+    for (int i = 0; i < count; i++) {
+      entries.add(new Entry(i, i % zones, "up", 0));
     }
+    return entries;
+  }
 
-    /**
-     * What a balancer is told at its start. It knows no upstream yet, so that its first list comes from
-     * discovery; lists are pushed.
-     */
-    static String config(InetSocketAddress listen, InetSocketAddress discovery, long seed, int siblings,
-            int tier, int zones) {
-        String zoneNames = java.util.stream.IntStream.range(0, zones)
-                .mapToObj(zone -> "\"" + zoneName(zone) + "\"").collect(Collectors.joining(","));
-        return """
+  static String list(long version, boolean full, Iterable<Entry> entries) {
+    List<String> parts = new ArrayList<>();
+    entries.forEach(entry -> parts.add(entry.json()));
+    return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}"
+        .formatted(version, full, String.join(",", parts));
+  }
+
+  /**
+   * What a balancer is told at its start. It knows no upstream yet, so that its first list comes
+   * from discovery; lists are pushed.
+   */
+  static String config(
+      InetSocketAddress listen,
+      InetSocketAddress discovery,
+      long seed,
+      int siblings,
+      int tier,
+      int zones) {
+    String zoneNames =
+        java.util.stream.IntStream.range(0, zones)
+            .mapToObj(zone -> "\"" + zoneName(zone) + "\"")
+            .collect(Collectors.joining(","));
+    return """
                 {"name":"n0","listen":"%s","discovery":"%s","seed":"%x",
                  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
                  "known":{"version":0,"full":true,"servers":[]},
@@ -84,14 +101,15 @@
                  "goal":{"whole":0.6,"worstWindow":0.2,"worstClass":0.2,"worstTenant":0.0},
                  "prices":{"crossZone":0.1,"probe":0.01,"waste":0.02,"lateFail":0.03,"connection":0.0,
                   "handshake":0.0,"peer":0.0,"registryMode":0.0}}}
-                """.formatted(text(listen), text(discovery), seed, siblings, tier, zoneNames);
-    }
+                """
+        .formatted(text(listen), text(discovery), seed, siblings, tier, zoneNames);
+  }
 
-    private static String zoneName(int zone) {
-        return "z" + zone;
-    }
+  private static String zoneName(int zone) {
+    return "z" + zone;
+  }
 
-    private static String text(InetSocketAddress address) {
-        return address.getAddress().getHostAddress() + ":" + address.getPort();
-    }
+  private static String text(InetSocketAddress address) {
+    return address.getAddress().getHostAddress() + ":" + address.getPort();
+  }
 }
--- a/src/main/java/cranedeal/scale/HollowFleet.java
+++ b/src/main/java/cranedeal/scale/HollowFleet.java
@@ -18,134 +18,147 @@
 /** Many balancers without callers on a few loops, and what they have taken in. */
 final class HollowFleet implements AutoCloseable {
 
-    private static final long LOOK_MS = 5;
-
-    private final HollowBalancer.Template template;
-    private final long seed;
-    private final Propagation propagation;
-    private final List<EventLoop> loops = new ArrayList<>();
-    private final long[] threads;
-    private final MultiThreadIoEventLoopGroup group;
-    private final HollowBalancer[] balancers;
-    /** The version that each has; -1 for one that is stopped. */
-    private final AtomicLongArray versions;
-    private final AtomicLong failures = new AtomicLong();
-    private final AtomicLong lists = new AtomicLong();
-    private final AtomicLong deltas = new AtomicLong();
-
-    HollowFleet(HollowBalancer.Template template, int count, int loopCount, long seed,
-            Propagation propagation) {
-        this.template = template;
-        this.seed = seed;
-        this.propagation = propagation;
-        group = new MultiThreadIoEventLoopGroup(loopCount, new DefaultThreadFactory("hollow", true),
-                NioIoHandler.newFactory());
-        threads = new long[loopCount];
-        for (int i = 0; i < loopCount; i++) {
-            loops.add((EventLoop) group.next());
-            threads[i] = loops.get(i).submit(() -> Thread.currentThread().getId()).syncUninterruptibly()
-                    .getNow();
-        }
-        balancers = new HollowBalancer[count];
-        versions = new AtomicLongArray(count);
-        for (int i = 0; i < count; i++) {
-            versions.set(i, -1);
-        }
+  private static final long LOOK_MS = 5;
+
+  private final HollowBalancer.Template template;
+  private final long seed;
+  private final Propagation propagation;
+  private final List<EventLoop> loops = new ArrayList<>();
+  private final long[] threads;
+  private final MultiThreadIoEventLoopGroup group;
+  private final HollowBalancer[] balancers;
+
+  /** The version that each has; -1 for one that is stopped. */
+  private final AtomicLongArray versions;
+
+  private final AtomicLong failures = new AtomicLong();
+  private final AtomicLong lists = new AtomicLong();
+  private final AtomicLong deltas = new AtomicLong();
+
+  HollowFleet(
+      HollowBalancer.Template template,
+      int count,
+      int loopCount,
+      long seed,
+      Propagation propagation) {
+    this.template = template;
+    this.seed = seed;
+    this.propagation = propagation;
+    group =
+        new MultiThreadIoEventLoopGroup(
+            loopCount, new DefaultThreadFactory("hollow", true), NioIoHandler.newFactory());
+    threads = new long[loopCount];
+    for (int i = 0; i < loopCount; i++) {
+      loops.add((EventLoop) group.next());
+      threads[i] =
+          loops.get(i).submit(() -> Thread.currentThread().getId()).syncUninterruptibly().getNow();
     }
-
-    /** Starts those of the positions. */
-    void start(IntPredicate which) {
-        for (int i = 0; i < balancers.length; i++) {
-            if (which.test(i)) {
-                versions.set(i, 0);
-                balancers[i] = HollowBalancer.start(template, i, seed + i, loops.get(i % loops.size()),
-                        PooledByteBufAllocator.DEFAULT, this::taken);
-            }
-        }
+    balancers = new HollowBalancer[count];
+    versions = new AtomicLongArray(count);
+    for (int i = 0; i < count; i++) {
+      versions.set(i, -1);
     }
-
-    /** Kills those of the positions. */
-    void stop(IntPredicate which) {
-        for (int i = 0; i < balancers.length; i++) {
-            if (which.test(i) && versions.getAndSet(i, -1) >= 0) {
-                balancers[i].stop();
-            }
-        }
+  }
+
+  /** Starts those of the positions. */
+  void start(IntPredicate which) {
+    for (int i = 0; i < balancers.length; i++) {
+      if (which.test(i)) {
+        versions.set(i, 0);
+        balancers[i] =
+            HollowBalancer.start(
+                template,
+                i,
+                seed + i,
+                loops.get(i % loops.size()),
+                PooledByteBufAllocator.DEFAULT,
+                this::taken);
+      }
     }
-
-    private void taken(HollowBalancer balancer, Change change, long version) {
-        long now = System.nanoTime();
-        int position = balancer.position();
-        if (change == Change.FAILED) {
-            failures.incrementAndGet();
-            return;
-        }
-        long before = versions.get(position);
-        if (before < 0 || balancers[position] != balancer) {
-            return;
-        }
-        versions.set(position, version);
-        if (change == Change.FULL) {
-            lists.incrementAndGet();
-        } else if (version > before) {
-            deltas.incrementAndGet();
-        }
-        propagation.taken(before, version, now);
+  }
+
+  /** Kills those of the positions. */
+  void stop(IntPredicate which) {
+    for (int i = 0; i < balancers.length; i++) {
+      if (which.test(i) && versions.getAndSet(i, -1) >= 0) {
+        balancers[i].stop();
+      }
     }
-
-    /** Waits until all have a version, for some time at most; how many don't. */
-    int await(long version, double seconds) throws InterruptedException {
-        long end = System.nanoTime() + (long) (seconds * 1e9);
-        int missing = missing(version);
-        while (missing > 0 && System.nanoTime() < end) {
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-            missing = missing(version);
-        }
-        return missing;
+  }
+
+  private void taken(HollowBalancer balancer, Change change, long version) {
+    long now = System.nanoTime();
+    int position = balancer.position();
+    if (change == Change.FAILED) {
+      failures.incrementAndGet();
+      return;
     }
-
-    private int missing(long version) {
-        int missing = 0;
-        for (int i = 0; i < balancers.length; i++) {
-            long has = versions.get(i);
-            missing += has >= 0 && has < version ? 1 : 0;
-        }
-        return missing;
+    long before = versions.get(position);
+    if (before < 0 || balancers[position] != balancer) {
+      return;
     }
-
-    int running() {
-        int running = 0;
-        for (int i = 0; i < balancers.length; i++) {
-            running += versions.get(i) >= 0 ? 1 : 0;
-        }
-        return running;
+    versions.set(position, version);
+    if (change == Change.FULL) {
+      lists.incrementAndGet();
+    } else if (version > before) {
+      deltas.incrementAndGet();
     }
-
-    /** Whole lists taken in so far; likewise changes, and calls that failed. */
-    long lists() {
-        return lists.get();
+    propagation.taken(before, version, now);
+  }
+
+  /** Waits until all have a version, for some time at most; how many don't. */
+  int await(long version, double seconds) throws InterruptedException {
+    long end = System.nanoTime() + (long) (seconds * 1e9);
+    int missing = missing(version);
+    while (missing > 0 && System.nanoTime() < end) {
+      TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+      missing = missing(version);
     }
-
-    long deltas() {
-        return deltas.get();
+    return missing;
+  }
+
+  private int missing(long version) {
+    int missing = 0;
+    for (int i = 0; i < balancers.length; i++) {
+      long has = versions.get(i);
+      missing += has >= 0 && has < version ? 1 : 0;
     }
+    return missing;
+  }
 
-    long failures() {
-        return failures.get();
+  int running() {
+    int running = 0;
+    for (int i = 0; i < balancers.length; i++) {
+      running += versions.get(i) >= 0 ? 1 : 0;
     }
-
-    /** Processor time of their loops, in ns. */
-    long cpuNanos() {
-        long sum = 0;
-        for (long thread : threads) {
-            sum += ManagementFactory.getThreadMXBean().getThreadCpuTime(thread);
-        }
-        return sum;
-    }
-
-    @Override
-    public void close() {
-        stop(position -> true);
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+    return running;
+  }
+
+  /** Whole lists taken in so far; likewise changes, and calls that failed. */
+  long lists() {
+    return lists.get();
+  }
+
+  long deltas() {
+    return deltas.get();
+  }
+
+  long failures() {
+    return failures.get();
+  }
+
+  /** Processor time of their loops, in ns. */
+  long cpuNanos() {
+    long sum = 0;
+    for (long thread : threads) {
+      sum += ManagementFactory.getThreadMXBean().getThreadCpuTime(thread);
     }
+    return sum;
+  }
+
+  @Override
+  public void close() {
+    stop(position -> true);
+    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+  }
 }
--- a/src/main/java/cranedeal/scale/Point.java
+++ b/src/main/java/cranedeal/scale/Point.java
@@ -5,43 +5,46 @@
 import java.io.PrintStream;
 import java.util.Arrays;
 
-/** One measured point, printed as one line of JSON: how it was measured, on what machine, and what came. */
+/**
+ * One measured point, printed as one line of JSON: how it was measured, on what machine, and what
+ * came.
+ */
 final class Point {
 
-    static final JsonMapper JSON = new JsonMapper();
-
-    private static final double THOUSAND = 1_000;
-
-    final ObjectNode parameters;
-    final ObjectNode results;
-    private final ObjectNode line = JSON.createObjectNode();
-
-    Point(String command, long seed) {
-        line.put("command", command);
-        line.put("seed", seed);
-        parameters = line.putObject("parameters");
-        Machine.describe(line.putObject("machine"));
-        results = line.putObject("results");
-    }
-
-    void print(PrintStream out) {
-        out.println(line);
-        out.flush();
-    }
-
-    /** To the thousandth, as more than that is never known. */
-    static double rounded(double value) {
-        return Math.rint(value * THOUSAND) / THOUSAND;
-    }
-
-    /** Several measurements of one thing: the median, and how far they lie apart. */
-    static void spread(ObjectNode to, String name, double... values) {
-        double[] sorted = values.clone();
-        Arrays.sort(sorted);
-        ObjectNode spread = to.putObject(name);
-        spread.put("median", rounded(sorted[sorted.length / 2]));
-        spread.put("min", rounded(sorted[0]));
-        spread.put("max", rounded(sorted[sorted.length - 1]));
-        spread.put("of", sorted.length);
-    }
+  static final JsonMapper JSON = new JsonMapper();
+
+  private static final double THOUSAND = 1_000;
+
+  final ObjectNode parameters;
+  final ObjectNode results;
+  private final ObjectNode line = JSON.createObjectNode();
+
+  Point(String command, long seed) {
+    line.put("command", command);
+    line.put("seed", seed);
+    parameters = line.putObject("parameters");
+    Machine.describe(line.putObject("machine"));
+    results = line.putObject("results");
+  }
+
+  void print(PrintStream out) {
+    out.println(line);
+    out.flush();
+  }
+
+  /** To the thousandth, as more than that is never known. */
+  static double rounded(double value) {
+    return Math.rint(value * THOUSAND) / THOUSAND;
+  }
+
+  /** Several measurements of one thing: the median, and how far they lie apart. */
+  static void spread(ObjectNode to, String name, double... values) {
+    double[] sorted = values.clone();
+    Arrays.sort(sorted);
+    ObjectNode spread = to.putObject(name);
+    spread.put("median", rounded(sorted[sorted.length / 2]));
+    spread.put("min", rounded(sorted[0]));
+    spread.put("max", rounded(sorted[sorted.length - 1]));
+    spread.put("of", sorted.length);
+  }
 }
--- a/src/main/java/cranedeal/wire/Main.java
+++ b/src/main/java/cranedeal/wire/Main.java
@@ -1,42 +1,44 @@
 package cranedeal.wire;
 
+import cranedeal.LatencyWeightedBalancer;
 import java.io.BufferedInputStream;
 import java.io.BufferedOutputStream;
-import java.io.FileInputStream;
 import java.io.FileDescriptor;
+import java.io.FileInputStream;
 import java.io.FileOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
 import java.io.PrintStream;
-import cranedeal.LatencyWeightedBalancer;
 
-/** The command line: {@code wire} reads batches on standard input and answers on standard output. */
+/**
+ * The command line: {@code wire} reads batches on standard input and answers on standard output.
+ */
 public final class Main {
 
-    private static final int BUFFER_BYTES = 1 << 16;
+  private static final int BUFFER_BYTES = 1 << 16;
 
-    private Main() {
-    }
+  private Main() {}
 
-    /** Runs the adapter and exits with its status. */
-    public static void main(String[] args) {
-        InputStream in = new BufferedInputStream(new FileInputStream(FileDescriptor.in), BUFFER_BYTES);
-        OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), BUFFER_BYTES);
-        System.exit(run(args, in, out, System.err));
-    }
+  /** Runs the adapter and exits with its status. */
+  public static void main(String[] args) {
+    InputStream in = new BufferedInputStream(new FileInputStream(FileDescriptor.in), BUFFER_BYTES);
+    OutputStream out =
+        new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), BUFFER_BYTES);
+    System.exit(run(args, in, out, System.err));
+  }
 
-    static int run(String[] args, InputStream in, OutputStream out, PrintStream err) {
-        if (args.length != 1 || !args[0].equals("wire")) {
-            err.println("usage: java -jar cranedeal.jar wire");
-            return 2;
-        }
-        try {
-            new WireHost(LatencyWeightedBalancer::new).serve(in, out);
-            return 0;
-        } catch (MalformedInputException | IOException e) {
-            err.println("cranedeal: " + e.getMessage());
-            return 1;
-        }
+  static int run(String[] args, InputStream in, OutputStream out, PrintStream err) {
+    if (args.length != 1 || !args[0].equals("wire")) {
+      err.println("usage: java -jar cranedeal.jar wire");
+      return 2;
+    }
+    try {
+      new WireHost(LatencyWeightedBalancer::new).serve(in, out);
+      return 0;
+    } catch (MalformedInputException | IOException e) {
+      err.println("cranedeal: " + e.getMessage());
+      return 1;
     }
+  }
 }
--- a/src/main/java/cranedeal/wire/MalformedInputException.java
+++ b/src/main/java/cranedeal/wire/MalformedInputException.java
@@ -3,9 +3,9 @@
 /** Input that the wire does not allow; the message says what and where, in one line. */
 public final class MalformedInputException extends RuntimeException {
 
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    MalformedInputException(String message) {
-        super(message);
-    }
+  MalformedInputException(String message) {
+    super(message);
+  }
 }
--- a/src/test/java/cranedeal/Bench.java
+++ b/src/test/java/cranedeal/Bench.java
@@ -1,5 +1,10 @@
 package cranedeal;
 
+import cranedeal.LoadBalancer.Change;
+import cranedeal.LoadBalancer.Outcome;
+import cranedeal.LoadBalancer.Request;
+import cranedeal.LoadBalancer.Result;
+import cranedeal.LoadBalancer.Settings;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -9,191 +14,209 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
-import cranedeal.LoadBalancer.Change;
-import cranedeal.LoadBalancer.Outcome;
-import cranedeal.LoadBalancer.Request;
-import cranedeal.LoadBalancer.Result;
-import cranedeal.LoadBalancer.Settings;
 
 /** One instance in virtual time: hands it events, keeps its actions, rings its timers. */
 final class Bench implements LoadBalancer.Actions {
 
-    record Sent(long request, int attempt, long upstream, double timeout, double at) { }
-
-    private record Alarm(double at, long order, long token) { }
-
-    final List<Sent> sends = new ArrayList<>();
-    final List<Long> refused = new ArrayList<>();
-    /** The advice of the last refusal on when to return. */
-    double retryAfter;
-    final List<Long> failed = new ArrayList<>();
-    final List<Sent> cancelled = new ArrayList<>();
-    final Set<Long> open = new HashSet<>();
-    private final Set<Sent> finished = new HashSet<>();
-    int closed;
-    int watches;
-    double now = 100_000;
-
-    private final Settings settings;
-    private final LoadBalancer balancer;
-    private final Map<Long, Integer> attempts = new HashMap<>();
-    private final PriorityQueue<Alarm> alarms =
-            new PriorityQueue<>(Comparator.comparingDouble(Alarm::at).thenComparingLong(Alarm::order));
-    private long alarmsSet;
-
-    Bench(Settings settings, long seed) {
-        this.settings = settings;
-        balancer = new LatencyWeightedBalancer(this);
-        balancer.start(now, settings, seed);
-    }
-
-    void list(Change change, Sites.Server... servers) {
-        balancer.upstreamsChanged(now, change, Arrays.stream(servers).map(Sites.Server::listed).toList());
-    }
-
-    void request(long id, int serviceClass) {
-        request(id, serviceClass, now + settings.classes().get(serviceClass).deadline(), 0);
-    }
-
-    void request(long id, int serviceClass, double deadline, double cost) {
-        request(id, serviceClass, deadline, cost, id);
-    }
-
-    void request(long id, int serviceClass, double deadline, double cost, long key) {
-        open.add(id);
-        balancer.request(now, new Request(id, serviceClass, 0, key, deadline, cost, false, false));
-    }
-
-    /** A request that its client marked as a repeat. */
-    void retry(long id, int serviceClass) {
-        open.add(id);
-        balancer.request(now, new Request(id, serviceClass, 0, id,
-                now + settings.classes().get(serviceClass).deadline(), 0, true, false));
-    }
-
-    /** A request with a key and its class's whole deadline. */
-    void keyed(long id, int serviceClass, long key) {
-        request(id, serviceClass, now + settings.classes().get(serviceClass).deadline(), 0, key);
-    }
-
-    void finish(Sent sent, Result result) {
-        finishAfter(sent, result, now - sent.at());
-    }
-
-    /** An outcome whose host has not yet heard that the request is over. */
-    void finishUnclosed(Sent sent, Result result) {
-        balancer.attemptFinished(now, new Outcome(sent.request(), sent.attempt(), sent.upstream(), result,
-                false, now - sent.at(), null));
-    }
-
-    void timer(long token) {
-        balancer.timer(now, token);
-    }
-
-    void finishAfter(Sent sent, Result result, double elapsed) {
-        if (!finished.add(sent)) {
-            throw new AssertionError("a second outcome for " + sent + ": no attempt and no answer followed");
-        }
-        if (result == Result.OK) {
-            open.remove(sent.request());
-        }
-        balancer.attemptFinished(now, new Outcome(sent.request(), sent.attempt(), sent.upstream(), result,
-                !open.contains(sent.request()), elapsed, null));
-    }
-
-    void streamStarted(Sent sent) {
-        balancer.streamStarted(now, sent.request(), sent.attempt(), now - sent.at());
-    }
-
-    void clientGone(long id) {
-        open.remove(id);
-        balancer.clientGone(now, id);
-    }
-
-    /** Moves the clock on, ringing what falls due on the way. */
-    void advance(double ms) {
-        double until = now + ms;
-        while (!alarms.isEmpty() && alarms.peek().at() <= until) {
-            Alarm alarm = alarms.poll();
-            now = Math.max(now, alarm.at());
-            balancer.timer(now, alarm.token());
-        }
-        now = until;
-    }
-
-    /** At how many different times timers are set to ring within the next ms. */
-    long timesAhead(double ms) {
-        return alarms.stream().mapToDouble(Alarm::at).filter(at -> at <= now + ms).distinct().count();
-    }
-
-    Sent lastSend() {
-        return sends.get(sends.size() - 1);
-    }
-
-    boolean isOpen(long id) {
-        return open.contains(id);
-    }
-
-    @Override
-    public void send(long requestId, long upstream, double timeout) {
-        int attempt = attempts.merge(requestId, 1, Integer::sum) - 1;
-        sends.add(new Sent(requestId, attempt, upstream, timeout, now));
-    }
-
-    @Override
-    public void refuse(long requestId, double retryAfter) {
-        open.remove(requestId);
-        refused.add(requestId);
-        this.retryAfter = retryAfter;
-    }
-
-    @Override
-    public void fail(long requestId) {
-        open.remove(requestId);
-        failed.add(requestId);
-    }
-
-    @Override
-    public void cancel(long requestId, int attempt) {
-        for (Sent sent : sends) {
-            if (sent.request() == requestId && sent.attempt() == attempt) {
-                cancelled.add(sent);
-            }
-        }
-    }
-
-    @Override
-    public void setTimer(long token, double at) {
-        alarms.add(new Alarm(at, alarmsSet++, token));
-    }
-
-    @Override
-    public void closeIdle(long upstream) {
-        closed++;
-    }
-
-    @Override
-    public void watch(boolean on) {
-        watches++;
-    }
-
-    @Override
-    public void probe(long upstream) {
-        throw new AssertionError("no site of these tests allows probes");
-    }
-
-    @Override
-    public void fetch() {
-        throw new AssertionError("nothing needs a fetch");
-    }
-
-    @Override
-    public void tell(int peer, byte[] payload) {
-        throw new AssertionError("no site of these tests has peers");
-    }
-
-    @Override
-    public void log(String text) {
-        // Log lines decide nothing.
-    }
+  record Sent(long request, int attempt, long upstream, double timeout, double at) {}
+
+  private record Alarm(double at, long order, long token) {}
+
+  final List<Sent> sends = new ArrayList<>();
+  final List<Long> refused = new ArrayList<>();
+
+  /** The advice of the last refusal on when to return. */
+  double retryAfter;
+
+  final List<Long> failed = new ArrayList<>();
+  final List<Sent> cancelled = new ArrayList<>();
+  final Set<Long> open = new HashSet<>();
+  private final Set<Sent> finished = new HashSet<>();
+  int closed;
+  int watches;
+  double now = 100_000;
+
+  private final Settings settings;
+  private final LoadBalancer balancer;
+  private final Map<Long, Integer> attempts = new HashMap<>();
+  private final PriorityQueue<Alarm> alarms =
+      new PriorityQueue<>(Comparator.comparingDouble(Alarm::at).thenComparingLong(Alarm::order));
+  private long alarmsSet;
+
+  Bench(Settings settings, long seed) {
+    this.settings = settings;
+    balancer = new LatencyWeightedBalancer(this);
+    balancer.start(now, settings, seed);
+  }
+
+  void list(Change change, Sites.Server... servers) {
+    balancer.upstreamsChanged(
+        now, change, Arrays.stream(servers).map(Sites.Server::listed).toList());
+  }
+
+  void request(long id, int serviceClass) {
+    request(id, serviceClass, now + settings.classes().get(serviceClass).deadline(), 0);
+  }
+
+  void request(long id, int serviceClass, double deadline, double cost) {
+    request(id, serviceClass, deadline, cost, id);
+  }
+
+  void request(long id, int serviceClass, double deadline, double cost, long key) {
+    open.add(id);
+    balancer.request(now, new Request(id, serviceClass, 0, key, deadline, cost, false, false));
+  }
+
+  /** A request that its client marked as a repeat. */
+  void retry(long id, int serviceClass) {
+    open.add(id);
+    balancer.request(
+        now,
+        new Request(
+            id,
+            serviceClass,
+            0,
+            id,
+            now + settings.classes().get(serviceClass).deadline(),
+            0,
+            true,
+            false));
+  }
+
+  /** A request with a key and its class's whole deadline. */
+  void keyed(long id, int serviceClass, long key) {
+    request(id, serviceClass, now + settings.classes().get(serviceClass).deadline(), 0, key);
+  }
+
+  void finish(Sent sent, Result result) {
+    finishAfter(sent, result, now - sent.at());
+  }
+
+  /** An outcome whose host has not yet heard that the request is over. */
+  void finishUnclosed(Sent sent, Result result) {
+    balancer.attemptFinished(
+        now,
+        new Outcome(
+            sent.request(), sent.attempt(), sent.upstream(), result, false, now - sent.at(), null));
+  }
+
+  void timer(long token) {
+    balancer.timer(now, token);
+  }
+
+  void finishAfter(Sent sent, Result result, double elapsed) {
+    if (!finished.add(sent)) {
+      throw new AssertionError(
+          "a second outcome for " + sent + ": no attempt and no answer followed");
+    }
+    if (result == Result.OK) {
+      open.remove(sent.request());
+    }
+    balancer.attemptFinished(
+        now,
+        new Outcome(
+            sent.request(),
+            sent.attempt(),
+            sent.upstream(),
+            result,
+            !open.contains(sent.request()),
+            elapsed,
+            null));
+  }
+
+  void streamStarted(Sent sent) {
+    balancer.streamStarted(now, sent.request(), sent.attempt(), now - sent.at());
+  }
+
+  void clientGone(long id) {
+    open.remove(id);
+    balancer.clientGone(now, id);
+  }
+
+  /** Moves the clock on, ringing what falls due on the way. */
+  void advance(double ms) {
+    double until = now + ms;
+    while (!alarms.isEmpty() && alarms.peek().at() <= until) {
+      Alarm alarm = alarms.poll();
+      now = Math.max(now, alarm.at());
+      balancer.timer(now, alarm.token());
+    }
+    now = until;
+  }
+
+  /** At how many different times timers are set to ring within the next ms. */
+  long timesAhead(double ms) {
+    return alarms.stream().mapToDouble(Alarm::at).filter(at -> at <= now + ms).distinct().count();
+  }
+
+  Sent lastSend() {
+    return sends.get(sends.size() - 1);
+  }
+
+  boolean isOpen(long id) {
+    return open.contains(id);
+  }
+
+  @Override
+  public void send(long requestId, long upstream, double timeout) {
+    int attempt = attempts.merge(requestId, 1, Integer::sum) - 1;
+    sends.add(new Sent(requestId, attempt, upstream, timeout, now));
+  }
+
+  @Override
+  public void refuse(long requestId, double retryAfter) {
+    open.remove(requestId);
+    refused.add(requestId);
+    this.retryAfter = retryAfter;
+  }
+
+  @Override
+  public void fail(long requestId) {
+    open.remove(requestId);
+    failed.add(requestId);
+  }
+
+  @Override
+  public void cancel(long requestId, int attempt) {
+    for (Sent sent : sends) {
+      if (sent.request() == requestId && sent.attempt() == attempt) {
+        cancelled.add(sent);
+      }
+    }
+  }
+
+  @Override
+  public void setTimer(long token, double at) {
+    alarms.add(new Alarm(at, alarmsSet++, token));
+  }
+
+  @Override
+  public void closeIdle(long upstream) {
+    closed++;
+  }
+
+  @Override
+  public void watch(boolean on) {
+    watches++;
+  }
+
+  @Override
+  public void probe(long upstream) {
+    throw new AssertionError("no site of these tests allows probes");
+  }
+
+  @Override
+  public void fetch() {
+    throw new AssertionError("nothing needs a fetch");
+  }
+
+  @Override
+  public void tell(int peer, byte[] payload) {
+    throw new AssertionError("no site of these tests has peers");
+  }
+
+  @Override
+  public void log(String text) {
+    // Log lines decide nothing.
+  }
 }
--- a/src/test/java/cranedeal/node/DescriptorsTest.java
+++ b/src/test/java/cranedeal/node/DescriptorsTest.java
@@ -14,81 +14,82 @@
 @Timeout(120)
 class DescriptorsTest {
 
-    private static final int LIMIT = 128;
-    private static final int CROWD = 2 * LIMIT;
+  private static final int LIMIT = 128;
+  private static final int CROWD = 2 * LIMIT;
 
-    /** As many as the program's descriptors, and more that wait for one; none of them ever sends. */
-    private static List<Peer> crowd(InetSocketAddress node) throws IOException {
-        List<Peer> idle = new ArrayList<>();
-        for (int i = 0; i < CROWD; i++) {
-            idle.add(Peer.to(node));
-        }
-        return idle;
+  /** As many as the program's descriptors, and more that wait for one; none of them ever sends. */
+  private static List<Peer> crowd(InetSocketAddress node) throws IOException {
+    List<Peer> idle = new ArrayList<>();
+    for (int i = 0; i < CROWD; i++) {
+      idle.add(Peer.to(node));
     }
+    return idle;
+  }
 
-    /** Has discovery tell a list, whatever calls it has left without an answer so far. */
-    private static Peer tell(Listener discovery, String roster) throws Exception {
-        while (true) {
-            Peer call = discovery.accept();
-            try {
-                if (call.read() != null) {
-                    call.write(Stage.ok(roster));
-                    // It has been taken in once the next call is out.
-                    if (call.read() != null) {
-                        return call;
-                    }
-                }
-            } catch (IOException e) {
-                // Given up meanwhile; there is a later one.
-            }
+  /** Has discovery tell a list, whatever calls it has left without an answer so far. */
+  private static Peer tell(Listener discovery, String roster) throws Exception {
+    while (true) {
+      Peer call = discovery.accept();
+      try {
+        if (call.read() != null) {
+          call.write(Stage.ok(roster));
+          // It has been taken in once the next call is out.
+          if (call.read() != null) {
+            return call;
+          }
         }
+      } catch (IOException e) {
+        // Given up meanwhile; there is a later one.
+      }
     }
+  }
 
-    private static void assertGoesTo(Listener upstream, String id, InetSocketAddress node)
-            throws Exception {
-        try (Peer caller = Peer.to(node)) {
-            caller.write(Stage.get(id, "15"));
-            Peer taker = upstream.accept();
-            assertEquals(id, taker.read().header("X-Txn"));
-            taker.write(Stage.ok(id));
-            assertEquals(id, caller.read().body());
-        }
+  private static void assertGoesTo(Listener upstream, String id, InetSocketAddress node)
+      throws Exception {
+    try (Peer caller = Peer.to(node)) {
+      caller.write(Stage.get(id, "15"));
+      Peer taker = upstream.accept();
+      assertEquals(id, taker.read().header("X-Txn"));
+      taker.write(Stage.ok(id));
+      assertEquals(id, caller.read().body());
     }
+  }
 
-    @Test
-    void idleClientsThatFillTheDescriptorsKeepOutNeitherNewsNorAttempts() throws Exception {
-        List<Peer> idle = new ArrayList<>();
-        try (Stage stage = new Stage(2); Listener second = new Listener()) {
-            stage.registryMode = "automatic";
-            stage.sockets = LIMIT;
-            String[] up = new String[2];
-            String[] draining = new String[2];
-            for (int i = 0; i < 2; i++) {
-                up[i] = Stage.entry(i, stage.upstreams.get(i).address(), "up");
-                draining[i] = Stage.entry(i, stage.upstreams.get(i).address(), "draining");
-            }
-            try (ServeProcess node = ServeProcess.startInShell(stage, "ulimit -n " + LIMIT + "; exec")) {
-                node.connect().close();
-                // While discovery is silent they come, and wait for each other to go.
-                idle.addAll(crowd(node.address));
-                assertTrue(idle.get(0).ended());
-                idle.addAll(crowd(node.address));
-                Peer watch = tell(stage.discovery, Stage.roster(42, false, draining[0]));
-                assertGoesTo(stage.upstreams.get(1), "first", node.address);
-                // A new watch while the old one is still open on the other side.
-                watch.reset();
-                idle.addAll(crowd(node.address));
-                tell(stage.discovery, Stage.roster(43, false, up[0], draining[1]));
-                assertGoesTo(stage.upstreams.get(0), "second", node.address);
-                node.reload(node.config.replace(stage.discovery.address(), second.address()));
-                idle.addAll(crowd(node.address));
-                tell(second, Stage.roster(7, true, draining[0], up[1]));
-                assertGoesTo(stage.upstreams.get(1), "third", node.address);
-            }
-        } finally {
-            for (Peer one : idle) {
-                one.close();
-            }
-        }
+  @Test
+  void idleClientsThatFillTheDescriptorsKeepOutNeitherNewsNorAttempts() throws Exception {
+    List<Peer> idle = new ArrayList<>();
+    try (Stage stage = new Stage(2);
+        Listener second = new Listener()) {
+      stage.registryMode = "automatic";
+      stage.sockets = LIMIT;
+      String[] up = new String[2];
+      String[] draining = new String[2];
+      for (int i = 0; i < 2; i++) {
+        up[i] = Stage.entry(i, stage.upstreams.get(i).address(), "up");
+        draining[i] = Stage.entry(i, stage.upstreams.get(i).address(), "draining");
+      }
+      try (ServeProcess node = ServeProcess.startInShell(stage, "ulimit -n " + LIMIT + "; exec")) {
+        node.connect().close();
+        // While discovery is silent they come, and wait for each other to go.
+        idle.addAll(crowd(node.address));
+        assertTrue(idle.get(0).ended());
+        idle.addAll(crowd(node.address));
+        Peer watch = tell(stage.discovery, Stage.roster(42, false, draining[0]));
+        assertGoesTo(stage.upstreams.get(1), "first", node.address);
+        // A new watch while the old one is still open on the other side.
+        watch.reset();
+        idle.addAll(crowd(node.address));
+        tell(stage.discovery, Stage.roster(43, false, up[0], draining[1]));
+        assertGoesTo(stage.upstreams.get(0), "second", node.address);
+        node.reload(node.config.replace(stage.discovery.address(), second.address()));
+        idle.addAll(crowd(node.address));
+        tell(second, Stage.roster(7, true, draining[0], up[1]));
+        assertGoesTo(stage.upstreams.get(1), "third", node.address);
+      }
+    } finally {
+      for (Peer one : idle) {
+        one.close();
+      }
     }
+  }
 }
