--- a/src/test/java/cranedeal/node/DiscoveryTest.java
+++ b/src/test/java/cranedeal/node/DiscoveryTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cranedeal.LatencyWeightedBalancer;
 import com.fasterxml.jackson.databind.json.JsonMapper;
+import cranedeal.LatencyWeightedBalancer;
 import cranedeal.LoadBalancer.Change;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.ChannelException;
@@ -33,650 +33,701 @@
 @Timeout(60)
 class DiscoveryTest {
 
-    private static final Pattern WATCH =
-            Pattern.compile("GET /catalog/members\\?index=(?<version>\\d+)&wait=(?<wait>\\d+) HTTP/1.1");
-
-    /** Far longer than any call may take, and shorter than a test waits. */
-    private static final long TIME_UP_MS = 15_000;
-    private final Stage stage = new Stage();
-
-    DiscoveryTest() throws IOException {
-        stage.script.onStart = () -> stage.script.actions.watch(true);
-    }
-
-    private void started() throws Exception {
-        stage.start();
-        assertEquals(Change.CACHED, Script.next(stage.script.changes));
-    }
-
-    /** Reads a watch's call, which goes on from the given version; how long it is to wait, in ms. */
-    private static int assertWatches(long version, Peer watch) throws IOException {
-        Matcher call = WATCH.matcher(watch.read().first());
-        assertTrue(call.matches());
-        assertEquals(version, Long.parseLong(call.group("version")));
-        return Integer.parseInt(call.group("wait"));
-    }
-
-    @Test
-    void aWatchGoesOnFromWhatItWasTold() throws Exception {
-        try (stage) {
-            started();
-            Peer watch = stage.discovery.accept();
-            assertWatches(41, watch);
-            watch.write(Stage.ok(Stage.roster(45, false, Stage.entry(0, "127.0.0.1:1", "draining"))));
-            assertEquals(Change.DELTA, Script.next(stage.script.changes));
-            assertWatches(45, watch);
-            watch.write(Stage.ok(Stage.roster(46, false)));
-            assertEquals(Change.DELTA, Script.next(stage.script.changes));
-            assertWatches(46, watch);
-            watch.write(Stage.ok(Stage.roster(47, false, "{\"id\":\"s-00000000\",\"state\":\"removed\"}")));
-            assertEquals(Change.DELTA, Script.next(stage.script.changes));
-            assertWatches(47, watch);
-        }
-    }
-
-    @Test
-    void newsComesToAModuleThatNeedNotAskForIt() throws Exception {
-        try (stage) {
-            stage.registryMode = "automatic";
-            stage.start(LatencyWeightedBalancer::new);
-            Peer watch = stage.discovery.accept();
-            assertWatches(41, watch);
-            watch.write(Stage.ok(Stage.roster(42, false,
-                    Stage.entry(0, stage.upstreams.get(0).address(), "draining"))));
-            // It has been taken in once the next call is out, and is asked for again after a failure.
-            assertWatches(42, watch);
-            watch.reset();
-            assertWatches(42, stage.discovery.accept());
-            Peer caller = stage.caller();
-            caller.write(Stage.get("drained", "0.5"));
-            assertEquals(503, caller.read().status());
-            assertEquals(0, stage.upstreams.get(0).waiting());
-        }
-    }
-
-    @Test
-    void aSilentWatchIsBegunAnewOnceTheServersItNamedTakeNothing() throws Exception {
-        try (Stage two = new Stage(2)) {
-            two.upstreams.get(0).close();
-            two.listed = 1;
-            two.askEvery = 0;
-            two.maxAttempts = 3;
-            two.start(LatencyWeightedBalancer::new);
-            Peer silent = two.discovery.accept();
-            assertWatches(41, silent);
-            Peer caller = two.caller();
-            caller.write(Stage.get("d1", "5"));
-            assertEquals(503, caller.read().status());
-            // Nobody waits for the old one any more, and what it missed is asked for.
-            Peer watch = two.discovery.accept();
-            assertWatches(41, watch);
-            assertTrue(silent.ended());
-            watch.write(Stage.ok(Stage.roster(42, false, "{\"id\":\"s-00000000\",\"state\":\"removed\"}",
-                    Stage.entry(1, two.upstreams.get(1).address(), "up"))));
-            assertWatches(42, watch);
-            caller.write(Stage.get("d2", "5"));
-            Peer upstream = two.upstreams.get(1).accept();
-            upstream.read();
-            upstream.write(Stage.ok("served"));
-            assertEquals(200, caller.read().status());
-        }
-    }
-
-    @ParameterizedTest
-    @ValueSource(strings = {
+  private static final Pattern WATCH =
+      Pattern.compile("GET /catalog/members\\?index=(?<version>\\d+)&wait=(?<wait>\\d+) HTTP/1.1");
+
+  /** Far longer than any call may take, and shorter than a test waits. */
+  private static final long TIME_UP_MS = 15_000;
+
+  private final Stage stage = new Stage();
+
+  DiscoveryTest() throws IOException {
+    stage.script.onStart = () -> stage.script.actions.watch(true);
+  }
+
+  private void started() throws Exception {
+    stage.start();
+    assertEquals(Change.CACHED, Script.next(stage.script.changes));
+  }
+
+  /** Reads a watch's call, which goes on from the given version; how long it is to wait, in ms. */
+  private static int assertWatches(long version, Peer watch) throws IOException {
+    Matcher call = WATCH.matcher(watch.read().first());
+    assertTrue(call.matches());
+    assertEquals(version, Long.parseLong(call.group("version")));
+    return Integer.parseInt(call.group("wait"));
+  }
+
+  @Test
+  void aWatchGoesOnFromWhatItWasTold() throws Exception {
+    try (stage) {
+      started();
+      Peer watch = stage.discovery.accept();
+      assertWatches(41, watch);
+      watch.write(Stage.ok(Stage.roster(45, false, Stage.entry(0, "127.0.0.1:1", "draining"))));
+      assertEquals(Change.DELTA, Script.next(stage.script.changes));
+      assertWatches(45, watch);
+      watch.write(Stage.ok(Stage.roster(46, false)));
+      assertEquals(Change.DELTA, Script.next(stage.script.changes));
+      assertWatches(46, watch);
+      watch.write(
+          Stage.ok(Stage.roster(47, false, "{\"id\":\"s-00000000\",\"state\":\"removed\"}")));
+      assertEquals(Change.DELTA, Script.next(stage.script.changes));
+      assertWatches(47, watch);
+    }
+  }
+
+  @Test
+  void newsComesToAModuleThatNeedNotAskForIt() throws Exception {
+    try (stage) {
+      stage.registryMode = "automatic";
+      stage.start(LatencyWeightedBalancer::new);
+      Peer watch = stage.discovery.accept();
+      assertWatches(41, watch);
+      watch.write(
+          Stage.ok(
+              Stage.roster(
+                  42, false, Stage.entry(0, stage.upstreams.get(0).address(), "draining"))));
+      // It has been taken in once the next call is out, and is asked for again after a failure.
+      assertWatches(42, watch);
+      watch.reset();
+      assertWatches(42, stage.discovery.accept());
+      Peer caller = stage.caller();
+      caller.write(Stage.get("drained", "0.5"));
+      assertEquals(503, caller.read().status());
+      assertEquals(0, stage.upstreams.get(0).waiting());
+    }
+  }
+
+  @Test
+  void aSilentWatchIsBegunAnewOnceTheServersItNamedTakeNothing() throws Exception {
+    try (Stage two = new Stage(2)) {
+      two.upstreams.get(0).close();
+      two.listed = 1;
+      two.askEvery = 0;
+      two.maxAttempts = 3;
+      two.start(LatencyWeightedBalancer::new);
+      Peer silent = two.discovery.accept();
+      assertWatches(41, silent);
+      Peer caller = two.caller();
+      caller.write(Stage.get("d1", "5"));
+      assertEquals(503, caller.read().status());
+      // Nobody waits for the old one any more, and what it missed is asked for.
+      Peer watch = two.discovery.accept();
+      assertWatches(41, watch);
+      assertTrue(silent.ended());
+      watch.write(
+          Stage.ok(
+              Stage.roster(
+                  42,
+                  false,
+                  "{\"id\":\"s-00000000\",\"state\":\"removed\"}",
+                  Stage.entry(1, two.upstreams.get(1).address(), "up"))));
+      assertWatches(42, watch);
+      caller.write(Stage.get("d2", "5"));
+      Peer upstream = two.upstreams.get(1).accept();
+      upstream.read();
+      upstream.write(Stage.ok("served"));
+      assertEquals(200, caller.read().status());
+    }
+  }
+
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
         "",
         "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
         "garbage\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"version\":",
         "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"version\":",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
-        "HTTP/1.1 200 OK\r\nContent-Length: 28\r\n\r\n{\"version\":50,\"servers\":[{}]}"})
-    void anAnswerOfNoUseIsAFailureAndTheOldListHolds(String answer) throws Exception {
-        try (stage) {
-            started();
-            Peer watch = stage.discovery.accept();
-            watch.read();
-            watch.write(answer);
-            watch.close();
-            assertEquals(Change.FAILED, Script.next(stage.script.changes));
-            stage.servesStill();
-            // One failure for one call, and the module can ask again from where it was.
-            assertTrue(stage.script.changes.isEmpty());
-            stage.script.onRequest = request -> {
-                stage.script.actions.refuse(request.id(), 0);
-                stage.script.actions.watch(true);
-            };
-            stage.caller().write(Stage.get("again", "10"));
-            assertWatches(41, stage.discovery.accept());
-        }
-    }
-
-    @Test
-    void aListThatBreaksOffLeavesAllSixtyUpstreamsInUse() throws Exception {
-        try (Stage many = new Stage(60)) {
-            many.script.onStart = () -> many.script.actions.watch(true);
-            many.start();
-            assertEquals(Change.CACHED, Script.next(many.script.changes));
-            Peer watch = many.discovery.accept();
-            watch.read();
-            String fewer = Stage.ok(Stage.roster(42, true, IntStream.range(0, 24)
-                    .mapToObj(i -> Stage.entry(i, many.upstreams.get(i).address(), "up"))
-                    .toArray(String[]::new)));
-            watch.write(fewer.substring(0, fewer.length() / 2));
-            watch.close();
-            assertEquals(Change.FAILED, Script.next(many.script.changes));
-            Peer caller = many.caller();
-            for (int i = 0; i < 60; i++) {
-                int place = i;
-                many.script.onRequest = request -> many.script.sendTo(place, request, 0);
-                caller.write(Stage.get("still" + i, "10"));
-                Peer upstream = many.upstreams.get(i).accept();
-                upstream.read();
-                upstream.write(Stage.ok("well"));
-                assertEquals(200, caller.read().status());
-            }
-            assertTrue(many.script.changes.isEmpty());
-        }
-    }
-
-    @Test
-    void anIndentedListIsReadLikeAnyOther() throws Exception {
-        try (stage) {
-            started();
-            Peer watch = stage.discovery.accept();
-            watch.read();
-            String plain = Stage.roster(45, true, Stage.entry(0, stage.upstreams.get(0).address(), "up"));
-            watch.write(Stage.ok(new JsonMapper().writerWithDefaultPrettyPrinter()
-                    .writeValueAsString(new JsonMapper().readTree(plain)).replace("\n", "\r\n\t")));
-            assertEquals(Change.FULL, Script.next(stage.script.changes));
-            assertWatches(45, watch);
-            stage.servesStill();
-        }
-    }
-
-    @Test
-    void aListWithoutEndIsAFailureAndTheOldOneHolds() throws Exception {
-        try (stage) {
-            started();
-            Peer watch = stage.discovery.accept();
-            watch.read();
-            watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            String chunk = "10000\r\n" + " ".repeat(0x10000) + "\r\n";
-            try {
-                while (true) {
-                    watch.write(chunk);
-                }
-            } catch (IOException e) {
-                // It is not listened to any more.
-            }
-            assertEquals(Change.FAILED, Script.next(stage.script.changes));
-            stage.servesStill();
-            assertTrue(stage.script.changes.isEmpty());
-        }
-    }
-
-    @Test
-    void aDiscoveryThatIsDownIsAFailure() throws Exception {
-        try (stage) {
-            stage.discovery.close();
-            started();
-            assertEquals(Change.FAILED, Script.next(stage.script.changes));
-        }
-    }
-
-    @Test
-    void theModuleAsksAgainAfterAFailure() throws Exception {
-        try (stage) {
-            stage.start(cranedeal.LatencyWeightedBalancer::new);
-            stage.discovery.accept().reset();
-            assertWatches(41, stage.discovery.accept());
-        }
-    }
-
-    /**
-     * A discovery's caller on its own, which tells what it is told, by {@code LATE} that time is up and by
-     * {@code ROOM} that it wants descriptors freed.
-     */
-    private static final class Lone implements AutoCloseable {
-
-        private static final String LATE = "LATE";
-        private static final String ROOM = "ROOM";
-
-        private final EventLoop loop =
-                (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-        private final LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
-        private final Discovery discovery;
-
-        /** Its watches wait for at most so long, in ms. */
-        Lone(Stage stage, String address, int watchMillis) throws Exception {
-            Path file = Files.createTempFile("node", ".json");
-            try {
-                Files.writeString(file, stage.config().replace(stage.discovery.address(), address));
-                discovery = new Discovery(loop, NodeConfig.read(file.toString()), ByteBufAllocator.DEFAULT,
-                        (change, roster) -> told.add(change.name()), () -> told.add(ROOM), watchMillis);
-            } finally {
-                Files.delete(file);
-            }
-        }
-
-        /** Watches, with so many ms to do so: the loop rings in the order of time, however late. */
-        void watch(long time) {
-            loop.execute(() -> {
-                discovery.watch(true);
-                loop.schedule(() -> told.add(LATE), time, TimeUnit.MILLISECONDS);
-            });
-        }
-
-        @Override
-        public void close() {
-            loop.parent().shutdownGracefully();
-        }
-    }
-
-    @Test
-    void aSilentDiscoveryIsAFailureOnceItsWaitIsOver() throws Exception {
-        try (stage; Lone lone = new Lone(stage, stage.discovery.address(), 100)) {
-            lone.watch(TIME_UP_MS);
-            Peer watch = stage.discovery.accept();
-            int wait = assertWatches(41, watch);
-            assertTrue(wait >= 50 && wait <= 100);
-            assertTrue(watch.ended());
-            assertEquals("FAILED", Script.next(lone.told));
-        }
-    }
-
-    @Test
-    void aCallAfterAFailureIsWaitedForWhereDiscoveryIsSlow() throws Exception {
-        try (stage; Lone lone = new Lone(stage, stage.discovery.address(), 20_000)) {
-            lone.watch(TIME_UP_MS);
-            Peer refused = stage.discovery.accept();
-            refused.read();
-            refused.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-            assertEquals("FAILED", Script.next(lone.told));
-            lone.watch(1_500);
-            Peer slow = stage.discovery.accept();
-            slow.read();
-            // Many others are served first; to give up now and ask again would only add to them.
-            assertEquals(Lone.LATE, Script.next(lone.told));
-            String entry = Stage.entry(0, stage.upstreams.get(0).address(), "up");
-            slow.write(Stage.ok(Stage.roster(42, true, entry)));
-            assertEquals("FULL", Script.next(lone.told));
-        }
-    }
-
-    @Test
-    void aConnectionToDiscoveryThatNeverComesUpIsAFailureAfterASecond() throws Exception {
-        try (stage; Backlog full = new Backlog();
-                Lone lone = new Lone(stage, full.address(), Discovery.WATCH_MS)) {
-            lone.watch(TIME_UP_MS);
-            assertEquals("FAILED", Script.next(lone.told));
-        }
-    }
-
-    @Test
-    void aCallThatFindsNoDescriptorFailsMakesRoomAndCanBeMadeAgain() throws Exception {
-        try (stage; Lone lone = new Lone(stage, stage.discovery.address(), Discovery.WATCH_MS)) {
-            lone.discovery.openBy(() -> {
-                throw new ChannelException("made by a test");
-            });
-            for (int i = 0; i < 2; i++) {
-                lone.watch(TIME_UP_MS);
-                assertEquals(Lone.ROOM, Script.next(lone.told));
-                assertEquals("FAILED", Script.next(lone.told));
-            }
-            lone.loop.execute(() -> lone.discovery.openBy(NioSocketChannel::new));
-            lone.watch(TIME_UP_MS);
-            Peer watch = stage.discovery.accept();
-            assertWatches(41, watch);
-            watch.write(Stage.ok(Stage.roster(42, false)));
-            assertEquals("DELTA", Script.next(lone.told));
-        }
-    }
-
-    @Test
-    void anAnswerThatDribblesInWithoutEndIsAFailureOnceItsTimeIsOver() throws Exception {
-        try (stage; Lone lone = new Lone(stage, stage.discovery.address(), 100)) {
-            lone.watch(TIME_UP_MS);
-            Peer watch = stage.discovery.accept();
-            assertWatches(41, watch);
-            watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            try {
-                while (lone.told.isEmpty()) {
-                    watch.write("1\r\n \r\n");
-                    TimeUnit.MILLISECONDS.sleep(1);
-                }
-            } catch (IOException e) {
-                // It is not listened to any more.
+        "HTTP/1.1 200 OK\r\nContent-Length: 28\r\n\r\n{\"version\":50,\"servers\":[{}]}"
+      })
+  void anAnswerOfNoUseIsAFailureAndTheOldListHolds(String answer) throws Exception {
+    try (stage) {
+      started();
+      Peer watch = stage.discovery.accept();
+      watch.read();
+      watch.write(answer);
+      watch.close();
+      assertEquals(Change.FAILED, Script.next(stage.script.changes));
+      stage.servesStill();
+      // One failure for one call, and the module can ask again from where it was.
+      assertTrue(stage.script.changes.isEmpty());
+      stage.script.onRequest =
+          request -> {
+            stage.script.actions.refuse(request.id(), 0);
+            stage.script.actions.watch(true);
+          };
+      stage.caller().write(Stage.get("again", "10"));
+      assertWatches(41, stage.discovery.accept());
+    }
+  }
+
+  @Test
+  void aListThatBreaksOffLeavesAllSixtyUpstreamsInUse() throws Exception {
+    try (Stage many = new Stage(60)) {
+      many.script.onStart = () -> many.script.actions.watch(true);
+      many.start();
+      assertEquals(Change.CACHED, Script.next(many.script.changes));
+      Peer watch = many.discovery.accept();
+      watch.read();
+      String fewer =
+          Stage.ok(
+              Stage.roster(
+                  42,
+                  true,
+                  IntStream.range(0, 24)
+                      .mapToObj(i -> Stage.entry(i, many.upstreams.get(i).address(), "up"))
+                      .toArray(String[]::new)));
+      watch.write(fewer.substring(0, fewer.length() / 2));
+      watch.close();
+      assertEquals(Change.FAILED, Script.next(many.script.changes));
+      Peer caller = many.caller();
+      for (int i = 0; i < 60; i++) {
+        int place = i;
+        many.script.onRequest = request -> many.script.sendTo(place, request, 0);
+        caller.write(Stage.get("still" + i, "10"));
+        Peer upstream = many.upstreams.get(i).accept();
+        upstream.read();
+        upstream.write(Stage.ok("well"));
+        assertEquals(200, caller.read().status());
+      }
+      assertTrue(many.script.changes.isEmpty());
+    }
+  }
+
+  @Test
+  void anIndentedListIsReadLikeAnyOther() throws Exception {
+    try (stage) {
+      started();
+      Peer watch = stage.discovery.accept();
+      watch.read();
+      String plain = Stage.roster(45, true, Stage.entry(0, stage.upstreams.get(0).address(), "up"));
+      watch.write(
+          Stage.ok(
+              new JsonMapper()
+                  .writerWithDefaultPrettyPrinter()
+                  .writeValueAsString(new JsonMapper().readTree(plain))
+                  .replace("\n", "\r\n\t")));
+      assertEquals(Change.FULL, Script.next(stage.script.changes));
+      assertWatches(45, watch);
+      stage.servesStill();
+    }
+  }
+
+  @Test
+  void aListWithoutEndIsAFailureAndTheOldOneHolds() throws Exception {
+    try (stage) {
+      started();
+      Peer watch = stage.discovery.accept();
+      watch.read();
+      watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+      String chunk = "10000\r\n" + " ".repeat(0x10000) + "\r\n";
+      try {
+        while (true) {
+          watch.write(chunk);
+        }
+      } catch (IOException e) {
+        // It is not listened to any more.
+      }
+      assertEquals(Change.FAILED, Script.next(stage.script.changes));
+      stage.servesStill();
+      assertTrue(stage.script.changes.isEmpty());
+    }
+  }
+
+  @Test
+  void aDiscoveryThatIsDownIsAFailure() throws Exception {
+    try (stage) {
+      stage.discovery.close();
+      started();
+      assertEquals(Change.FAILED, Script.next(stage.script.changes));
+    }
+  }
+
+  @Test
+  void theModuleAsksAgainAfterAFailure() throws Exception {
+    try (stage) {
+      stage.start(cranedeal.LatencyWeightedBalancer::new);
+      stage.discovery.accept().reset();
+      assertWatches(41, stage.discovery.accept());
+    }
+  }
+
+  /**
+   * A discovery's caller on its own, which tells what it is told, by {@code LATE} that time is up
+   * and by {@code ROOM} that it wants descriptors freed.
+   */
+  private static final class Lone implements AutoCloseable {
+
+    private static final String LATE = "LATE";
+    private static final String ROOM = "ROOM";
+
+    private final EventLoop loop =
+        (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+    private final LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final Discovery discovery;
+
+    /** Its watches wait for at most so long, in ms. */
+    Lone(Stage stage, String address, int watchMillis) throws Exception {
+      Path file = Files.createTempFile("node", ".json");
+      try {
+        Files.writeString(file, stage.config().replace(stage.discovery.address(), address));
+        discovery =
+            new Discovery(
+                loop,
+                NodeConfig.read(file.toString()),
+                ByteBufAllocator.DEFAULT,
+                (change, roster) -> told.add(change.name()),
+                () -> told.add(ROOM),
+                watchMillis);
+      } finally {
+        Files.delete(file);
+      }
+    }
+
+    /** Watches, with so many ms to do so: the loop rings in the order of time, however late. */
+    void watch(long time) {
+      loop.execute(
+          () -> {
+            discovery.watch(true);
+            loop.schedule(() -> told.add(LATE), time, TimeUnit.MILLISECONDS);
+          });
+    }
+
+    @Override
+    public void close() {
+      loop.parent().shutdownGracefully();
+    }
+  }
+
+  @Test
+  void aSilentDiscoveryIsAFailureOnceItsWaitIsOver() throws Exception {
+    try (stage;
+        Lone lone = new Lone(stage, stage.discovery.address(), 100)) {
+      lone.watch(TIME_UP_MS);
+      Peer watch = stage.discovery.accept();
+      int wait = assertWatches(41, watch);
+      assertTrue(wait >= 50 && wait <= 100);
+      assertTrue(watch.ended());
+      assertEquals("FAILED", Script.next(lone.told));
+    }
+  }
+
+  @Test
+  void aCallAfterAFailureIsWaitedForWhereDiscoveryIsSlow() throws Exception {
+    try (stage;
+        Lone lone = new Lone(stage, stage.discovery.address(), 20_000)) {
+      lone.watch(TIME_UP_MS);
+      Peer refused = stage.discovery.accept();
+      refused.read();
+      refused.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+      assertEquals("FAILED", Script.next(lone.told));
+      lone.watch(1_500);
+      Peer slow = stage.discovery.accept();
+      slow.read();
+      // Many others are served first; to give up now and ask again would only add to them.
+      assertEquals(Lone.LATE, Script.next(lone.told));
+      String entry = Stage.entry(0, stage.upstreams.get(0).address(), "up");
+      slow.write(Stage.ok(Stage.roster(42, true, entry)));
+      assertEquals("FULL", Script.next(lone.told));
+    }
+  }
+
+  @Test
+  void aConnectionToDiscoveryThatNeverComesUpIsAFailureAfterASecond() throws Exception {
+    try (stage;
+        Backlog full = new Backlog();
+        Lone lone = new Lone(stage, full.address(), Discovery.WATCH_MS)) {
+      lone.watch(TIME_UP_MS);
+      assertEquals("FAILED", Script.next(lone.told));
+    }
+  }
+
+  @Test
+  void aCallThatFindsNoDescriptorFailsMakesRoomAndCanBeMadeAgain() throws Exception {
+    try (stage;
+        Lone lone = new Lone(stage, stage.discovery.address(), Discovery.WATCH_MS)) {
+      lone.discovery.openBy(
+          () -> {
+            throw new ChannelException("made by a test");
+          });
+      for (int i = 0; i < 2; i++) {
+        lone.watch(TIME_UP_MS);
+        assertEquals(Lone.ROOM, Script.next(lone.told));
+        assertEquals("FAILED", Script.next(lone.told));
+      }
+      lone.loop.execute(() -> lone.discovery.openBy(NioSocketChannel::new));
+      lone.watch(TIME_UP_MS);
+      Peer watch = stage.discovery.accept();
+      assertWatches(41, watch);
+      watch.write(Stage.ok(Stage.roster(42, false)));
+      assertEquals("DELTA", Script.next(lone.told));
+    }
+  }
+
+  @Test
+  void anAnswerThatDribblesInWithoutEndIsAFailureOnceItsTimeIsOver() throws Exception {
+    try (stage;
+        Lone lone = new Lone(stage, stage.discovery.address(), 100)) {
+      lone.watch(TIME_UP_MS);
+      Peer watch = stage.discovery.accept();
+      assertWatches(41, watch);
+      watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+      try {
+        while (lone.told.isEmpty()) {
+          watch.write("1\r\n \r\n");
+          TimeUnit.MILLISECONDS.sleep(1);
+        }
+      } catch (IOException e) {
+        // It is not listened to any more.
+      }
+      assertEquals("FAILED", Script.next(lone.told));
+    }
+  }
+
+  @Test
+  void aCallAfterAFailureIsGivenUpAfterASecondWithNoAnswer() throws Exception {
+    try (stage;
+        Lone lone = new Lone(stage, stage.discovery.address(), Discovery.WATCH_MS)) {
+      lone.watch(TIME_UP_MS);
+      stage.discovery.accept().reset();
+      assertEquals("FAILED", Script.next(lone.told));
+      lone.watch(TIME_UP_MS);
+      Peer silent = stage.discovery.accept();
+      // Were it to wait, it would show only after that that nobody answers.
+      assertEquals(0, assertWatches(41, silent));
+      assertEquals("FAILED", Script.next(lone.told));
+      lone.watch(TIME_UP_MS);
+      Peer watch = stage.discovery.accept();
+      assertEquals(0, assertWatches(41, watch));
+      watch.write(Stage.ok(Stage.roster(42, false)));
+      // Once there has been an answer, watches wait again.
+      assertTrue(assertWatches(42, watch) > 0);
+    }
+  }
+
+  @ParameterizedTest
+  @ValueSource(strings = {"automatic", "subscribe"})
+  void whatDiscoveryHadWhileCallsToItFailedIsAskedForWithoutAWait(String mode) throws Exception {
+    try (stage) {
+      stage.registryMode = mode;
+      stage.firstNews = 1;
+      stage.start(LatencyWeightedBalancer::new);
+      Peer first = stage.discovery.accept();
+      assertWatches(41, first);
+      first.write(Stage.ok(Stage.roster(42, false)));
+      assertWatches(42, first);
+      first.reset();
+      for (int i = 0; i < 2; i++) {
+        stage.discovery.accept().reset();
+      }
+      Peer watch = stage.discovery.accept();
+      assertEquals(0, assertWatches(42, watch));
+      watch.write(Stage.ok(Stage.roster(43, false)));
+      assertTrue(assertWatches(43, watch) >= Discovery.WATCH_MS / 2);
+    }
+  }
+
+  @Test
+  void aListThatIsNotTakenInIsAskedForWholeOnceTheModuleAsks() throws Exception {
+    try (stage) {
+      started();
+      stage.script.onNews =
+          change -> {
+            if (change == Change.DELTA) {
+              throw new IllegalStateException("made by a test");
             }
-            assertEquals("FAILED", Script.next(lone.told));
-        }
-    }
-
-    @Test
-    void aCallAfterAFailureIsGivenUpAfterASecondWithNoAnswer() throws Exception {
-        try (stage; Lone lone = new Lone(stage, stage.discovery.address(), Discovery.WATCH_MS)) {
-            lone.watch(TIME_UP_MS);
-            stage.discovery.accept().reset();
-            assertEquals("FAILED", Script.next(lone.told));
-            lone.watch(TIME_UP_MS);
-            Peer silent = stage.discovery.accept();
-            // Were it to wait, it would show only after that that nobody answers.
-            assertEquals(0, assertWatches(41, silent));
-            assertEquals("FAILED", Script.next(lone.told));
-            lone.watch(TIME_UP_MS);
-            Peer watch = stage.discovery.accept();
-            assertEquals(0, assertWatches(41, watch));
-            watch.write(Stage.ok(Stage.roster(42, false)));
-            // Once there has been an answer, watches wait again.
-            assertTrue(assertWatches(42, watch) > 0);
-        }
-    }
-
-    @ParameterizedTest
-    @ValueSource(strings = {"automatic", "subscribe"})
-    void whatDiscoveryHadWhileCallsToItFailedIsAskedForWithoutAWait(String mode) throws Exception {
-        try (stage) {
-            stage.registryMode = mode;
-            stage.firstNews = 1;
-            stage.start(LatencyWeightedBalancer::new);
-            Peer first = stage.discovery.accept();
-            assertWatches(41, first);
-            first.write(Stage.ok(Stage.roster(42, false)));
-            assertWatches(42, first);
-            first.reset();
-            for (int i = 0; i < 2; i++) {
-                stage.discovery.accept().reset();
-            }
-            Peer watch = stage.discovery.accept();
-            assertEquals(0, assertWatches(42, watch));
-            watch.write(Stage.ok(Stage.roster(43, false)));
-            assertTrue(assertWatches(43, watch) >= Discovery.WATCH_MS / 2);
-        }
-    }
-
-    @Test
-    void aListThatIsNotTakenInIsAskedForWholeOnceTheModuleAsks() throws Exception {
-        try (stage) {
-            started();
-            stage.script.onNews = change -> {
-                if (change == Change.DELTA) {
-                    throw new IllegalStateException("made by a test");
-                }
-            };
-            Peer watch = stage.discovery.accept();
-            assertWatches(41, watch);
-            watch.write(Stage.ok(Stage.roster(45, false, Stage.entry(0, "127.0.0.1:1", "draining"))));
-            assertEquals(Change.DELTA, Script.next(stage.script.changes));
-            assertEquals(Change.FAILED, Script.next(stage.script.changes));
-            stage.script.onRequest = request -> {
-                stage.script.actions.refuse(request.id(), 0);
-                stage.script.actions.watch(true);
-            };
-            Peer caller = stage.caller();
-            caller.write(Stage.get("again", "10"));
-            caller.read();
-            // The first call since then, on the connection that is as well as before, and the only one.
-            assertEquals("GET /catalog/members HTTP/1.1", watch.read().first());
-            watch.write(Stage.ok(Stage.roster(45, true,
-                    Stage.entry(0, stage.upstreams.get(0).address(), "up"))));
-            assertEquals(Change.FULL, Script.next(stage.script.changes));
-            assertWatches(45, watch);
-            assertEquals(0, stage.discovery.waiting());
-            stage.script.onRequest = request -> stage.script.sendTo(0, request, 0);
-            stage.servesStill();
-        }
-    }
-
-    @Test
-    void aWatchGoesOnOverANewConnectionWhereItsAnswerEndsTheOldOne() throws Exception {
-        try (stage) {
-            started();
-            Peer watch = stage.discovery.accept();
-            assertWatches(41, watch);
-            watch.write(Stage.ok(Stage.roster(42, false))
-                    .replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
-            assertEquals(Change.DELTA, Script.next(stage.script.changes));
-            assertTrue(watch.ended());
-            assertWatches(42, stage.discovery.accept());
-            assertTrue(stage.script.changes.isEmpty());
-        }
-    }
-
-    @Test
-    void aWholeListOfALowerVersionIsTakenInAndGoneOnFrom() throws Exception {
-        try (stage) {
-            started();
-            Peer watch = stage.discovery.accept();
-            assertWatches(41, watch);
-            watch.write(Stage.ok(Stage.roster(7, true,
-                    Stage.entry(0, stage.upstreams.get(0).address(), "up"))));
-            assertEquals(Change.FULL, Script.next(stage.script.changes));
-            assertWatches(7, watch);
-        }
-    }
-
-    @Test
-    void newsThatASilentWatchMissedIsKnownBeforeItCountsAsTold() throws Exception {
-        try (stage) {
-            stage.registryMode = "automatic";
-            stage.start(LatencyWeightedBalancer::new);
-            Peer silent = stage.discovery.accept();
-            assertEquals(0, assertWatches(41, silent));
-            silent.write(Stage.ok(Stage.roster(41, false)));
-            // It counts as told 6 s after it was there to tell: the call that missed it has to be over.
-            int wait = assertWatches(41, silent);
-            assertTrue(wait > 0 && wait <= 2_000);
-            Peer watch = stage.discovery.accept();
-            assertTrue(silent.ended());
-            assertWatches(41, watch);
-        }
-    }
-
-    @Test
-    void aNewProcessDoesNotServeFromItsKnownListBeforeDiscoveryHasAnswered() throws Exception {
-        CountDownLatch started = new CountDownLatch(1);
-        try (stage) {
-            stage.registryMode = "automatic";
-            stage.script.onStart = () -> { };
-            stage.firstNews = Peer.PATIENCE_MS;
-            Thread agent = new Thread(() -> {
+          };
+      Peer watch = stage.discovery.accept();
+      assertWatches(41, watch);
+      watch.write(Stage.ok(Stage.roster(45, false, Stage.entry(0, "127.0.0.1:1", "draining"))));
+      assertEquals(Change.DELTA, Script.next(stage.script.changes));
+      assertEquals(Change.FAILED, Script.next(stage.script.changes));
+      stage.script.onRequest =
+          request -> {
+            stage.script.actions.refuse(request.id(), 0);
+            stage.script.actions.watch(true);
+          };
+      Peer caller = stage.caller();
+      caller.write(Stage.get("again", "10"));
+      caller.read();
+      // The first call since then, on the connection that is as well as before, and the only one.
+      assertEquals("GET /catalog/members HTTP/1.1", watch.read().first());
+      watch.write(
+          Stage.ok(Stage.roster(45, true, Stage.entry(0, stage.upstreams.get(0).address(), "up"))));
+      assertEquals(Change.FULL, Script.next(stage.script.changes));
+      assertWatches(45, watch);
+      assertEquals(0, stage.discovery.waiting());
+      stage.script.onRequest = request -> stage.script.sendTo(0, request, 0);
+      stage.servesStill();
+    }
+  }
+
+  @Test
+  void aWatchGoesOnOverANewConnectionWhereItsAnswerEndsTheOldOne() throws Exception {
+    try (stage) {
+      started();
+      Peer watch = stage.discovery.accept();
+      assertWatches(41, watch);
+      watch.write(
+          Stage.ok(Stage.roster(42, false)).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
+      assertEquals(Change.DELTA, Script.next(stage.script.changes));
+      assertTrue(watch.ended());
+      assertWatches(42, stage.discovery.accept());
+      assertTrue(stage.script.changes.isEmpty());
+    }
+  }
+
+  @Test
+  void aWholeListOfALowerVersionIsTakenInAndGoneOnFrom() throws Exception {
+    try (stage) {
+      started();
+      Peer watch = stage.discovery.accept();
+      assertWatches(41, watch);
+      watch.write(
+          Stage.ok(Stage.roster(7, true, Stage.entry(0, stage.upstreams.get(0).address(), "up"))));
+      assertEquals(Change.FULL, Script.next(stage.script.changes));
+      assertWatches(7, watch);
+    }
+  }
+
+  @Test
+  void newsThatASilentWatchMissedIsKnownBeforeItCountsAsTold() throws Exception {
+    try (stage) {
+      stage.registryMode = "automatic";
+      stage.start(LatencyWeightedBalancer::new);
+      Peer silent = stage.discovery.accept();
+      assertEquals(0, assertWatches(41, silent));
+      silent.write(Stage.ok(Stage.roster(41, false)));
+      // It counts as told 6 s after it was there to tell: the call that missed it has to be over.
+      int wait = assertWatches(41, silent);
+      assertTrue(wait > 0 && wait <= 2_000);
+      Peer watch = stage.discovery.accept();
+      assertTrue(silent.ended());
+      assertWatches(41, watch);
+    }
+  }
+
+  @Test
+  void aNewProcessDoesNotServeFromItsKnownListBeforeDiscoveryHasAnswered() throws Exception {
+    CountDownLatch started = new CountDownLatch(1);
+    try (stage) {
+      stage.registryMode = "automatic";
+      stage.script.onStart = () -> {};
+      stage.firstNews = Peer.PATIENCE_MS;
+      Thread agent =
+          new Thread(
+              () -> {
                 try {
-                    Peer watch = stage.discovery.accept();
-                    // Nothing may be newer than the list, which only an answer at once can tell.
-                    assertEquals(0, assertWatches(41, watch));
-                    // A node that does not wait for this has begun to serve by now.
-                    started.await(300, TimeUnit.MILLISECONDS);
-                    watch.write(Stage.ok(Stage.roster(42, false,
-                            Stage.entry(0, stage.upstreams.get(0).address(), "draining"))));
+                  Peer watch = stage.discovery.accept();
+                  // Nothing may be newer than the list, which only an answer at once can tell.
+                  assertEquals(0, assertWatches(41, watch));
+                  // A node that does not wait for this has begun to serve by now.
+                  started.await(300, TimeUnit.MILLISECONDS);
+                  watch.write(
+                      Stage.ok(
+                          Stage.roster(
+                              42,
+                              false,
+                              Stage.entry(0, stage.upstreams.get(0).address(), "draining"))));
                 } catch (IOException | InterruptedException e) {
-                    throw new AssertionError(e);
-                }
-            });
-            agent.start();
-            stage.start();
-            started.countDown();
-            assertEquals(Change.CACHED, stage.script.changes.poll());
-            assertEquals(Change.DELTA, stage.script.changes.poll());
-            agent.join();
-        }
-    }
-
-    @Test
-    void aNewProcessServesFromItsKnownListWhileDiscoveryIsSilent() throws Exception {
-        try (stage) {
-            stage.registryMode = "automatic";
-            stage.script.onStart = () -> { };
-            stage.firstNews = 1;
-            stage.start();
-            stage.discovery.accept().read();
-            stage.servesStill();
-        }
-    }
-
-    @Test
-    void copiesThatStartTogetherDoNotWatchInStep() throws Exception {
-        List<Integer> first = new ArrayList<>();
-        List<Integer> second = new ArrayList<>();
-        for (List<Integer> waits : List.of(first, second)) {
-            try (Stage copy = new Stage()) {
-                copy.seed = waits == first ? "1" : "2";
-                copy.registryMode = "automatic";
-                copy.start(LatencyWeightedBalancer::new);
-                Peer watch = copy.discovery.accept();
-                // The first is answered at once and waits in neither.
-                assertEquals(0, assertWatches(41, watch));
-                watch.write(Stage.ok(Stage.roster(42, false)));
-                for (int version = 42; version < 50; version++) {
-                    waits.add(assertWatches(version, watch));
-                    watch.write(Stage.ok(Stage.roster(version + 1, false)));
+                  throw new AssertionError(e);
                 }
-            }
-        }
-        for (int i = 0; i < first.size(); i++) {
-            assertNotEquals(first.get(i), second.get(i));
-        }
-        assertTrue(first.stream().distinct().count() > 1);
-    }
-
-    @Test
-    void theWholeListIsAskedForOnItsOwn() throws Exception {
-        try (stage) {
-            stage.script.onStart = () -> stage.script.actions.fetch();
-            started();
-            Peer call = stage.discovery.accept();
-            assertEquals("GET /catalog/members HTTP/1.1", call.read().first());
-            call.write(Stage.ok(Stage.roster(50, true)));
-            assertEquals(Change.FULL, Script.next(stage.script.changes));
-        }
-    }
-
-    @Test
-    void aCallForTheWholeListLeavesNoConnectionBehind() throws Exception {
-        try (stage) {
-            stage.script.onStart = () -> stage.script.actions.fetch();
-            started();
-            Peer call = stage.discovery.accept();
-            call.read();
-            call.write(Stage.ok(Stage.roster(50, true)));
-            assertEquals(Change.FULL, Script.next(stage.script.changes));
-            assertTrue(call.ended());
-        }
-    }
-
-    @Test
-    void anotherDiscoveryIsAskedForItsWholeListAndTheOldOneLeftQuietly() throws Exception {
-        Path file = Files.createTempFile("node", ".json");
-        try (stage; Listener second = new Listener(); Listener third = new Listener()) {
-            started();
-            Peer old = stage.discovery.accept();
-            old.read();
-            Listener[] moves = {second, third};
-            for (Listener move : moves) {
-                Files.writeString(file, stage.config().replace(stage.discovery.address(), move.address()));
-                stage.node.reload(NodeConfig.read(file.toString()));
-                Peer fresh = move.accept();
-                assertEquals("GET /catalog/members HTTP/1.1", fresh.read().first());
-                assertTrue(old.ended());
-                fresh.write(Stage.ok(Stage.roster(7, true,
-                        Stage.entry(0, stage.upstreams.get(0).address(), "up"))));
-                // No failure came before it.
-                assertEquals(Change.FULL, Script.next(stage.script.changes));
-                assertWatches(7, fresh);
-                old = fresh;
-            }
-            stage.servesStill();
-        } finally {
-            Files.delete(file);
-        }
-    }
-
-    @Test
-    void anAnswerOfTheOldDiscoveryAfterTheMoveIsOfNoUse() throws Exception {
-        Path file = Files.createTempFile("node", ".json");
-        try (stage; Listener second = new Listener()) {
-            stage.script.onStart = () -> {
-                stage.script.actions.watch(true);
-                stage.script.actions.fetch();
-            };
-            started();
-            Peer[] old = {stage.discovery.accept(), stage.discovery.accept()};
-            old[0].read();
-            old[1].read();
-            Files.writeString(file, stage.config().replace(stage.discovery.address(), second.address()));
-            stage.node.reload(NodeConfig.read(file.toString()));
-            Peer watch = second.accept();
-            watch.read();
-            for (Peer call : old) {
-                try {
-                    call.write(Stage.ok(Stage.roster(99, true)));
-                } catch (IOException e) {
-                    // The watch's own connection is closed already.
-                }
-            }
-            // What was asked for is asked for again, where discovery is now.
-            Peer fetch = second.accept();
-            assertEquals("GET /catalog/members HTTP/1.1", fetch.read().first());
-            assertTrue(stage.script.changes.isEmpty());
-            watch.write(Stage.ok(Stage.roster(7, true,
-                    Stage.entry(0, stage.upstreams.get(0).address(), "up"))));
-            assertEquals(Change.FULL, Script.next(stage.script.changes));
-            assertWatches(7, watch);
-            stage.servesStill();
-        } finally {
-            Files.delete(file);
-        }
-    }
-
-    @Test
-    void theSameDiscoveryAgainOrBackAndForthLeavesOneWatch() throws Exception {
-        Path first = Files.createTempFile("node", ".json");
-        Path other = Files.createTempFile("node", ".json");
-        try (stage; Listener second = new Listener()) {
-            started();
-            Peer watch = stage.discovery.accept();
-            assertWatches(41, watch);
-            Files.writeString(first, stage.config());
-            Files.writeString(other, stage.config().replace(stage.discovery.address(), second.address()));
-            stage.node.reload(NodeConfig.read(first.toString()));
-            watch.write(Stage.ok(Stage.roster(42, false)));
-            assertEquals(Change.DELTA, Script.next(stage.script.changes));
-            assertWatches(42, watch);
-            // Two in a row: the later one counts, whatever the earlier one has begun.
-            stage.node.reload(NodeConfig.read(other.toString()));
-            stage.node.reload(NodeConfig.read(first.toString()));
-            assertTrue(watch.ended());
-            Peer back = stage.discovery.accept();
-            assertEquals("GET /catalog/members HTTP/1.1", back.read().first());
-            back.write(Stage.ok(Stage.roster(3, true,
-                    Stage.entry(0, stage.upstreams.get(0).address(), "up"))));
-            assertEquals(Change.FULL, Script.next(stage.script.changes));
-            assertWatches(3, back);
-            stage.servesStill();
-        } finally {
-            Files.delete(first);
-            Files.delete(other);
-        }
-    }
-
-    @Test
-    void aNewDiscoveryThatFailsIsStillAskedForItsWholeList() throws Exception {
-        Path file = Files.createTempFile("node", ".json");
-        try (stage; Listener second = new Listener()) {
-            started();
-            stage.discovery.accept().read();
-            Files.writeString(file, stage.config().replace(stage.discovery.address(), second.address()));
-            stage.node.reload(NodeConfig.read(file.toString()));
-            second.accept().reset();
-            assertEquals(Change.FAILED, Script.next(stage.script.changes));
-            stage.script.onRequest = request -> {
-                stage.script.actions.refuse(request.id(), 0);
-                stage.script.actions.watch(true);
-            };
-            stage.caller().write(Stage.get("again", "10"));
-            assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().first());
-        } finally {
-            Files.delete(file);
-        }
-    }
+              });
+      agent.start();
+      stage.start();
+      started.countDown();
+      assertEquals(Change.CACHED, stage.script.changes.poll());
+      assertEquals(Change.DELTA, stage.script.changes.poll());
+      agent.join();
+    }
+  }
+
+  @Test
+  void aNewProcessServesFromItsKnownListWhileDiscoveryIsSilent() throws Exception {
+    try (stage) {
+      stage.registryMode = "automatic";
+      stage.script.onStart = () -> {};
+      stage.firstNews = 1;
+      stage.start();
+      stage.discovery.accept().read();
+      stage.servesStill();
+    }
+  }
+
+  @Test
+  void copiesThatStartTogetherDoNotWatchInStep() throws Exception {
+    List<Integer> first = new ArrayList<>();
+    List<Integer> second = new ArrayList<>();
+    for (List<Integer> waits : List.of(first, second)) {
+      try (Stage copy = new Stage()) {
+        copy.seed = waits == first ? "1" : "2";
+        copy.registryMode = "automatic";
+        copy.start(LatencyWeightedBalancer::new);
+        Peer watch = copy.discovery.accept();
+        // The first is answered at once and waits in neither.
+        assertEquals(0, assertWatches(41, watch));
+        watch.write(Stage.ok(Stage.roster(42, false)));
+        for (int version = 42; version < 50; version++) {
+          waits.add(assertWatches(version, watch));
+          watch.write(Stage.ok(Stage.roster(version + 1, false)));
+        }
+      }
+    }
+    for (int i = 0; i < first.size(); i++) {
+      assertNotEquals(first.get(i), second.get(i));
+    }
+    assertTrue(first.stream().distinct().count() > 1);
+  }
+
+  @Test
+  void theWholeListIsAskedForOnItsOwn() throws Exception {
+    try (stage) {
+      stage.script.onStart = () -> stage.script.actions.fetch();
+      started();
+      Peer call = stage.discovery.accept();
+      assertEquals("GET /catalog/members HTTP/1.1", call.read().first());
+      call.write(Stage.ok(Stage.roster(50, true)));
+      assertEquals(Change.FULL, Script.next(stage.script.changes));
+    }
+  }
+
+  @Test
+  void aCallForTheWholeListLeavesNoConnectionBehind() throws Exception {
+    try (stage) {
+      stage.script.onStart = () -> stage.script.actions.fetch();
+      started();
+      Peer call = stage.discovery.accept();
+      call.read();
+      call.write(Stage.ok(Stage.roster(50, true)));
+      assertEquals(Change.FULL, Script.next(stage.script.changes));
+      assertTrue(call.ended());
+    }
+  }
+
+  @Test
+  void anotherDiscoveryIsAskedForItsWholeListAndTheOldOneLeftQuietly() throws Exception {
+    Path file = Files.createTempFile("node", ".json");
+    try (stage;
+        Listener second = new Listener();
+        Listener third = new Listener()) {
+      started();
+      Peer old = stage.discovery.accept();
+      old.read();
+      Listener[] moves = {second, third};
+      for (Listener move : moves) {
+        Files.writeString(file, stage.config().replace(stage.discovery.address(), move.address()));
+        stage.node.reload(NodeConfig.read(file.toString()));
+        Peer fresh = move.accept();
+        assertEquals("GET /catalog/members HTTP/1.1", fresh.read().first());
+        assertTrue(old.ended());
+        fresh.write(
+            Stage.ok(
+                Stage.roster(7, true, Stage.entry(0, stage.upstreams.get(0).address(), "up"))));
+        // No failure came before it.
+        assertEquals(Change.FULL, Script.next(stage.script.changes));
+        assertWatches(7, fresh);
+        old = fresh;
+      }
+      stage.servesStill();
+    } finally {
+      Files.delete(file);
+    }
+  }
+
+  @Test
+  void anAnswerOfTheOldDiscoveryAfterTheMoveIsOfNoUse() throws Exception {
+    Path file = Files.createTempFile("node", ".json");
+    try (stage;
+        Listener second = new Listener()) {
+      stage.script.onStart =
+          () -> {
+            stage.script.actions.watch(true);
+            stage.script.actions.fetch();
+          };
+      started();
+      Peer[] old = {stage.discovery.accept(), stage.discovery.accept()};
+      old[0].read();
+      old[1].read();
+      Files.writeString(file, stage.config().replace(stage.discovery.address(), second.address()));
+      stage.node.reload(NodeConfig.read(file.toString()));
+      Peer watch = second.accept();
+      watch.read();
+      for (Peer call : old) {
+        try {
+          call.write(Stage.ok(Stage.roster(99, true)));
+        } catch (IOException e) {
+          // The watch's own connection is closed already.
+        }
+      }
+      // What was asked for is asked for again, where discovery is now.
+      Peer fetch = second.accept();
+      assertEquals("GET /catalog/members HTTP/1.1", fetch.read().first());
+      assertTrue(stage.script.changes.isEmpty());
+      watch.write(
+          Stage.ok(Stage.roster(7, true, Stage.entry(0, stage.upstreams.get(0).address(), "up"))));
+      assertEquals(Change.FULL, Script.next(stage.script.changes));
+      assertWatches(7, watch);
+      stage.servesStill();
+    } finally {
+      Files.delete(file);
+    }
+  }
+
+  @Test
+  void theSameDiscoveryAgainOrBackAndForthLeavesOneWatch() throws Exception {
+    Path first = Files.createTempFile("node", ".json");
+    Path other = Files.createTempFile("node", ".json");
+    try (stage;
+        Listener second = new Listener()) {
+      started();
+      Peer watch = stage.discovery.accept();
+      assertWatches(41, watch);
+      Files.writeString(first, stage.config());
+      Files.writeString(other, stage.config().replace(stage.discovery.address(), second.address()));
+      stage.node.reload(NodeConfig.read(first.toString()));
+      watch.write(Stage.ok(Stage.roster(42, false)));
+      assertEquals(Change.DELTA, Script.next(stage.script.changes));
+      assertWatches(42, watch);
+      // Two in a row: the later one counts, whatever the earlier one has begun.
+      stage.node.reload(NodeConfig.read(other.toString()));
+      stage.node.reload(NodeConfig.read(first.toString()));
+      assertTrue(watch.ended());
+      Peer back = stage.discovery.accept();
+      assertEquals("GET /catalog/members HTTP/1.1", back.read().first());
+      back.write(
+          Stage.ok(Stage.roster(3, true, Stage.entry(0, stage.upstreams.get(0).address(), "up"))));
+      assertEquals(Change.FULL, Script.next(stage.script.changes));
+      assertWatches(3, back);
+      stage.servesStill();
+    } finally {
+      Files.delete(first);
+      Files.delete(other);
+    }
+  }
+
+  @Test
+  void aNewDiscoveryThatFailsIsStillAskedForItsWholeList() throws Exception {
+    Path file = Files.createTempFile("node", ".json");
+    try (stage;
+        Listener second = new Listener()) {
+      started();
+      stage.discovery.accept().read();
+      Files.writeString(file, stage.config().replace(stage.discovery.address(), second.address()));
+      stage.node.reload(NodeConfig.read(file.toString()));
+      second.accept().reset();
+      assertEquals(Change.FAILED, Script.next(stage.script.changes));
+      stage.script.onRequest =
+          request -> {
+            stage.script.actions.refuse(request.id(), 0);
+            stage.script.actions.watch(true);
+          };
+      stage.caller().write(Stage.get("again", "10"));
+      assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().first());
+    } finally {
+      Files.delete(file);
+    }
+  }
 }
--- a/src/test/java/cranedeal/node/DrainTest.java
+++ b/src/test/java/cranedeal/node/DrainTest.java
@@ -16,230 +16,248 @@
 @Timeout(120)
 class DrainTest {
 
-    private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n";
+  private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n";
 
-    private static void endsWithOneLine(int status, Path config, String... arguments) throws Exception {
-        Process process = ServeProcess.startWith(config, arguments);
-        try (BufferedReader error = process.errorReader()) {
-            assertEquals(1, error.lines().filter(line -> !line.isBlank()).count());
-        }
-        assertTrue(process.waitFor(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
-        assertEquals(status, process.exitValue());
+  private static void endsWithOneLine(int status, Path config, String... arguments)
+      throws Exception {
+    Process process = ServeProcess.startWith(config, arguments);
+    try (BufferedReader error = process.errorReader()) {
+      assertEquals(1, error.lines().filter(line -> !line.isBlank()).count());
     }
+    assertTrue(process.waitFor(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+    assertEquals(status, process.exitValue());
+  }
 
-    @Test
-    void aBadCommandLineOrConfigurationIsToldInOneLine() throws Exception {
-        endsWithOneLine(2, null);
-        endsWithOneLine(2, null, "server");
-        endsWithOneLine(1, null, "serve");
-        endsWithOneLine(1, Path.of("no-such-file"), "serve");
-        Path file = Files.createTempFile("node", ".json");
-        try (Stage stage = new Stage()) {
-            for (String bad : new String[] {"", "{", "[]", "{\"listen\":\"nowhere\"}",
-                stage.config().replace("127.0.0.1:0", "127.0.0.1:notaport"),
-                stage.config().replace("\"aim\":1000.0", "\"aim\":\"soon\""),
-                stage.config().replace("8c1f30d27a5be964", "no number"),
-                stage.config().replace("\"up\"", "\"sideways\""),
-                stage.config().replace("127.0.0.1:0", stage.discovery.address())}) {
-                Files.writeString(file, bad);
-                endsWithOneLine(1, file, "serve");
-            }
-        } finally {
-            Files.delete(file);
-        }
+  @Test
+  void aBadCommandLineOrConfigurationIsToldInOneLine() throws Exception {
+    endsWithOneLine(2, null);
+    endsWithOneLine(2, null, "server");
+    endsWithOneLine(1, null, "serve");
+    endsWithOneLine(1, Path.of("no-such-file"), "serve");
+    Path file = Files.createTempFile("node", ".json");
+    try (Stage stage = new Stage()) {
+      for (String bad :
+          new String[] {
+            "",
+            "{",
+            "[]",
+            "{\"listen\":\"nowhere\"}",
+            stage.config().replace("127.0.0.1:0", "127.0.0.1:notaport"),
+            stage.config().replace("\"aim\":1000.0", "\"aim\":\"soon\""),
+            stage.config().replace("8c1f30d27a5be964", "no number"),
+            stage.config().replace("\"up\"", "\"sideways\""),
+            stage.config().replace("127.0.0.1:0", stage.discovery.address())
+          }) {
+        Files.writeString(file, bad);
+        endsWithOneLine(1, file, "serve");
+      }
+    } finally {
+      Files.delete(file);
     }
+  }
 
-    @Test
-    void sigtermLetsAllThatIsTakenBeAnswered() throws Exception {
-        try (Stage stage = new Stage(); ServeProcess node = ServeProcess.start(stage)) {
-            Peer taken = node.connect();
-            Peer idle = Peer.to(node.address);
-            idle.write(HEALTH);
-            assertEquals("keep-alive", idle.read().headers().getOrDefault("connection", "keep-alive"));
-            taken.write(Stage.get("taken", "10"));
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            node.process.destroy();
-            // A second one, and a new configuration just then, change nothing.
-            node.process.destroy();
-            node.hangUp();
-            idle.write(Stage.get("reused", "10"));
-            Peer second = stage.upstreams.get(0).accept();
-            second.read();
-            // A late caller, one on a connection that it had, and the one that was taken before.
-            Peer.Message late = null;
-            while (late == null || late.header("Connection") == null) {
-                // Callers are asked to leave only when the time for the last answers begins.
-                Peer caller = Peer.to(node.address);
-                caller.write(HEALTH);
-                late = caller.read();
-                assertEquals(200, late.status());
-            }
-            second.write(Stage.ok("reused"));
-            Peer.Message reused = idle.read();
-            assertEquals("reused", reused.body());
-            assertEquals("close", reused.header("Connection"));
-            assertTrue(idle.ended());
-            upstream.write(Stage.ok("taken"));
-            assertEquals("taken", taken.read().body());
-            assertTrue(node.process.waitFor(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
-        }
+  @Test
+  void sigtermLetsAllThatIsTakenBeAnswered() throws Exception {
+    try (Stage stage = new Stage();
+        ServeProcess node = ServeProcess.start(stage)) {
+      Peer taken = node.connect();
+      Peer idle = Peer.to(node.address);
+      idle.write(HEALTH);
+      assertEquals("keep-alive", idle.read().headers().getOrDefault("connection", "keep-alive"));
+      taken.write(Stage.get("taken", "10"));
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      node.process.destroy();
+      // A second one, and a new configuration just then, change nothing.
+      node.process.destroy();
+      node.hangUp();
+      idle.write(Stage.get("reused", "10"));
+      Peer second = stage.upstreams.get(0).accept();
+      second.read();
+      // A late caller, one on a connection that it had, and the one that was taken before.
+      Peer.Message late = null;
+      while (late == null || late.header("Connection") == null) {
+        // Callers are asked to leave only when the time for the last answers begins.
+        Peer caller = Peer.to(node.address);
+        caller.write(HEALTH);
+        late = caller.read();
+        assertEquals(200, late.status());
+      }
+      second.write(Stage.ok("reused"));
+      Peer.Message reused = idle.read();
+      assertEquals("reused", reused.body());
+      assertEquals("close", reused.header("Connection"));
+      assertTrue(idle.ended());
+      upstream.write(Stage.ok("taken"));
+      assertEquals("taken", taken.read().body());
+      assertTrue(node.process.waitFor(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
     }
+  }
 
-    @Test
-    void sighupReadsTheFileAgainAndABadOneChangesNothing() throws Exception {
-        try (Stage stage = new Stage(); Listener second = new Listener();
-                ServeProcess node = ServeProcess.start(stage)) {
-            Peer caller = node.connect();
-            stage.discovery.accept().read();
-            node.reload("{");
-            // Its complaint tells that it has been read.
-            assertTrue(node.process.errorReader().lines()
-                    .anyMatch(line -> line.contains("stays as it was")));
-            node.reload(node.config.replace(stage.discovery.address(), second.address()));
-            assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().first());
-            caller.write(HEALTH);
-            assertEquals(200, caller.read().status());
-        }
+  @Test
+  void sighupReadsTheFileAgainAndABadOneChangesNothing() throws Exception {
+    try (Stage stage = new Stage();
+        Listener second = new Listener();
+        ServeProcess node = ServeProcess.start(stage)) {
+      Peer caller = node.connect();
+      stage.discovery.accept().read();
+      node.reload("{");
+      // Its complaint tells that it has been read.
+      assertTrue(
+          node.process.errorReader().lines().anyMatch(line -> line.contains("stays as it was")));
+      node.reload(node.config.replace(stage.discovery.address(), second.address()));
+      assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().first());
+      caller.write(HEALTH);
+      assertEquals(200, caller.read().status());
     }
+  }
 
-    @Test
-    void sighupIsHeardAlsoWhereWhoeverStartsTheProgramIgnoresIt() throws Exception {
-        String run = Files.readAllLines(Path.of("deploy", "balancer.toml")).stream()
-                .filter(line -> line.startsWith("run = \"")).findFirst().orElseThrow();
-        // What comes ahead of the virtual machine, which leaves a signal ignored that was so at its start.
-        String ahead = run.substring(run.indexOf('"') + 1, run.indexOf("java "));
-        try (Stage stage = new Stage(); Listener second = new Listener();
-                ServeProcess node = ServeProcess.startInShell(stage, "trap '' HUP; " + ahead)) {
-            node.connect();
-            node.reload(node.config.replace(stage.discovery.address(), second.address()));
-            assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().first());
-        }
+  @Test
+  void sighupIsHeardAlsoWhereWhoeverStartsTheProgramIgnoresIt() throws Exception {
+    String run =
+        Files.readAllLines(Path.of("deploy", "balancer.toml")).stream()
+            .filter(line -> line.startsWith("run = \""))
+            .findFirst()
+            .orElseThrow();
+    // What comes ahead of the virtual machine, which leaves a signal ignored that was so at its
+    // start.
+    String ahead = run.substring(run.indexOf('"') + 1, run.indexOf("java "));
+    try (Stage stage = new Stage();
+        Listener second = new Listener();
+        ServeProcess node = ServeProcess.startInShell(stage, "trap '' HUP; " + ahead)) {
+      node.connect();
+      node.reload(node.config.replace(stage.discovery.address(), second.address()));
+      assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().first());
     }
+  }
 
-    @Test
-    void aDrainServesCallersAsBeforeWhileThereIsTime() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Thread drain = new Thread(() -> {
+  @Test
+  void aDrainServesCallersAsBeforeWhileThereIsTime() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Thread drain =
+          new Thread(
+              () -> {
                 try {
-                    stage.node.drain();
+                  stage.node.drain();
                 } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
+                  Thread.currentThread().interrupt();
                 }
-            });
-            Peer caller = stage.caller();
-            caller.write(HEALTH);
-            caller.read();
-            drain.start();
-            // It has begun once the thread sleeps; so far callers are not asked to leave.
-            while (drain.getState() != Thread.State.TIMED_WAITING) {
-                Thread.onSpinWait();
-            }
-            caller.write(HEALTH);
-            assertEquals("keep-alive", caller.read().headers().getOrDefault("connection", "keep-alive"));
-            drain.join();
-            assertTrue(caller.ended());
-        }
+              });
+      Peer caller = stage.caller();
+      caller.write(HEALTH);
+      caller.read();
+      drain.start();
+      // It has begun once the thread sleeps; so far callers are not asked to leave.
+      while (drain.getState() != Thread.State.TIMED_WAITING) {
+        Thread.onSpinWait();
+      }
+      caller.write(HEALTH);
+      assertEquals("keep-alive", caller.read().headers().getOrDefault("connection", "keep-alive"));
+      drain.join();
+      assertTrue(caller.ended());
     }
+  }
 
-    @Test
-    void whatADrainCannotFinishFailsBeforeItIsKilled() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            stage.node.drain();
-            assertEquals(504, caller.read().status());
-            assertTrue(upstream.ended());
-        }
+  @Test
+  void whatADrainCannotFinishFailsBeforeItIsKilled() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("1", "x"));
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      stage.node.drain();
+      assertEquals(504, caller.read().status());
+      assertTrue(upstream.ended());
     }
+  }
 
-    @Test
-    void allThatHasComeByTheEndOfADrainIsAnswered() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x") + Stage.get("2", "10") + Stage.get("3", "10"));
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            Peer half = stage.caller();
-            half.write("GET /look-up/7");
-            stage.node.onLoop((frontend, upstreams) -> {
-                // Nobody could come to an end otherwise while the test puts the end here.
-                stage.node.end();
-                return null;
-            });
-            assertEquals(504, caller.read().status());
-            // They never ran, and may be sent again.
-            assertEquals(503, caller.read().status());
-            Peer.Message last = caller.read();
-            assertEquals(503, last.status());
-            assertEquals("close", last.header("Connection"));
-            assertTrue(caller.ended());
-            assertEquals(408, half.read().status());
-            assertTrue(half.ended());
-            // A connection that crosses the end is told so too.
-            Peer late = stage.caller();
-            late.write(Stage.get("4", "10"));
-            assertEquals(503, late.read().status());
-            assertEquals(0, stage.upstreams.get(0).waiting());
-        }
+  @Test
+  void allThatHasComeByTheEndOfADrainIsAnswered() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("1", "x") + Stage.get("2", "10") + Stage.get("3", "10"));
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      Peer half = stage.caller();
+      half.write("GET /look-up/7");
+      stage.node.onLoop(
+          (frontend, upstreams) -> {
+            // Nobody could come to an end otherwise while the test puts the end here.
+            stage.node.end();
+            return null;
+          });
+      assertEquals(504, caller.read().status());
+      // They never ran, and may be sent again.
+      assertEquals(503, caller.read().status());
+      Peer.Message last = caller.read();
+      assertEquals(503, last.status());
+      assertEquals("close", last.header("Connection"));
+      assertTrue(caller.ended());
+      assertEquals(408, half.read().status());
+      assertTrue(half.ended());
+      // A connection that crosses the end is told so too.
+      Peer late = stage.caller();
+      late.write(Stage.get("4", "10"));
+      assertEquals(503, late.read().status());
+      assertEquals(0, stage.upstreams.get(0).waiting());
     }
+  }
 
-    @Test
-    void aRequestThatLiesUnreadInTheKernelAtTheEndOfADrainIsAnswered() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer kept = stage.caller();
-            kept.write(HEALTH);
-            kept.read();
-            Peer[] unread = {kept, null};
-            stage.node.onLoop((frontend, upstreams) -> {
-                try {
-                    // The node reads neither before its end begins.
-                    kept.write(Stage.get("1", "10"));
-                    unread[1] = stage.caller();
-                    unread[1].write(Stage.get("2", "10"));
-                } catch (IOException e) {
-                    throw new java.io.UncheckedIOException(e);
-                }
-                stage.node.end();
-                return null;
-            });
-            for (Peer caller : unread) {
-                Peer.Message answer = caller.read();
-                assertEquals(503, answer.status());
-                assertEquals("close", answer.header("Connection"));
-                assertTrue(caller.ended());
+  @Test
+  void aRequestThatLiesUnreadInTheKernelAtTheEndOfADrainIsAnswered() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer kept = stage.caller();
+      kept.write(HEALTH);
+      kept.read();
+      Peer[] unread = {kept, null};
+      stage.node.onLoop(
+          (frontend, upstreams) -> {
+            try {
+              // The node reads neither before its end begins.
+              kept.write(Stage.get("1", "10"));
+              unread[1] = stage.caller();
+              unread[1].write(Stage.get("2", "10"));
+            } catch (IOException e) {
+              throw new java.io.UncheckedIOException(e);
             }
-        }
+            stage.node.end();
+            return null;
+          });
+      for (Peer caller : unread) {
+        Peer.Message answer = caller.read();
+        assertEquals(503, answer.status());
+        assertEquals("close", answer.header("Connection"));
+        assertTrue(caller.ended());
+      }
     }
+  }
 
-    @Test
-    void aNodeThatLetNobodyInYetCanBeDrained() throws Exception {
-        Path file = Files.createTempFile("node", ".json");
-        try (Stage stage = new Stage()) {
-            Files.writeString(file, stage.config());
-            Node node = Node.prepare(NodeConfig.read(file.toString()));
-            node.drain();
-            node.kill();
-        } finally {
-            Files.delete(file);
-        }
+  @Test
+  void aNodeThatLetNobodyInYetCanBeDrained() throws Exception {
+    Path file = Files.createTempFile("node", ".json");
+    try (Stage stage = new Stage()) {
+      Files.writeString(file, stage.config());
+      Node node = Node.prepare(NodeConfig.read(file.toString()));
+      node.drain();
+      node.kill();
+    } finally {
+      Files.delete(file);
     }
+  }
 
-    @Test
-    void aDrainDoesNotCloseAConnectionWithARequestInIt() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(HEALTH);
-            caller.read();
-            caller.write(Stage.get("1", "10"));
-            // The request lies in the kernel or is at work; either way it must not be lost.
-            assertFalse(stage.node.endDrain());
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            upstream.write(Stage.ok("kept"));
-            assertEquals("kept", caller.read().body());
-        }
+  @Test
+  void aDrainDoesNotCloseAConnectionWithARequestInIt() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write(HEALTH);
+      caller.read();
+      caller.write(Stage.get("1", "10"));
+      // The request lies in the kernel or is at work; either way it must not be lost.
+      assertFalse(stage.node.endDrain());
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      upstream.write(Stage.ok("kept"));
+      assertEquals("kept", caller.read().body());
     }
+  }
 }
--- a/src/test/java/cranedeal/node/EventLoopMonitorTest.java
+++ b/src/test/java/cranedeal/node/EventLoopMonitorTest.java
@@ -19,171 +19,178 @@
 /** Bounds of waits and the durations of iterations, on a clock that the test moves. */
 class EventLoopMonitorTest {
 
-    private long now = TimeUnit.SECONDS.toNanos(7);
-    private final EventLoopMonitor monitor = new EventLoopMonitor(() -> now);
-    private boolean ready;
-    private long selectMillis;
-    private final IoHandler handler = monitor.watch(executor -> new Selecting()).newHandler(null);
-
-    private void pass(long millis) {
-        now += TimeUnit.MILLISECONDS.toNanos(millis);
+  private long now = TimeUnit.SECONDS.toNanos(7);
+  private final EventLoopMonitor monitor = new EventLoopMonitor(() -> now);
+  private boolean ready;
+  private long selectMillis;
+  private final IoHandler handler = monitor.watch(executor -> new Selecting()).newHandler(null);
+
+  private void pass(long millis) {
+    now += TimeUnit.MILLISECONDS.toNanos(millis);
+  }
+
+  /**
+   * Waits {@code select} ms for events, or 0 if some are ready, and handles them for {@code work}
+   * ms.
+   */
+  private void iterate(long select, long work) {
+    iterate(select == 0, select, work);
+  }
+
+  private void iterate(boolean someReady, long select, long work) {
+    ready = someReady;
+    selectMillis = select;
+    handler.run(new Context());
+    pass(work);
+  }
+
+  @Test
+  void anEventMayHaveComeRightAfterTheSelectorReturnedBefore() {
+    iterate(10, 0);
+    pass(300);
+    iterate(0, 0);
+    assertEquals(300, monitor.longestWaitMillis());
+    pass(40);
+    assertEquals(340, monitor.longestWaitMillis());
+    iterate(0, 0);
+    assertEquals(40, monitor.longestWaitMillis());
+  }
+
+  @Test
+  void aSelectorThatBlockedReturnedWithTheFirstEvent() {
+    iterate(10, 300);
+    iterate(0, 4);
+    assertEquals(304, monitor.longestWaitMillis());
+    iterate(25, 0);
+    assertEquals(0, monitor.longestWaitMillis());
+    pass(5);
+    assertEquals(5, monitor.longestWaitMillis());
+  }
+
+  @Test
+  void aSlowCallToTheSelectorHasNotBlockedIfSomethingWasReady() {
+    iterate(10, 300);
+    iterate(true, 25, 0);
+    assertEquals(325, monitor.longestWaitMillis());
+  }
+
+  @Test
+  void whatIsReadyAndWhatIsWaitedForAreOneIteration() {
+    long before = monitor.iteration();
+    iterate(10, 0);
+    assertEquals(before + 1, monitor.iteration());
+    iterate(0, 0);
+    assertEquals(before + 2, monitor.iteration());
+  }
+
+  @Test
+  void theLongestIterationIsRecentForFourToEightSeconds() {
+    iterate(10, 300);
+    iterate(10, 5);
+    assertEquals(300, monitor.recentLatenessMillis());
+    iterate(2_500, 5);
+    iterate(2_500, 5);
+    iterate(0, 5);
+    assertEquals(300, monitor.recentLatenessMillis());
+    iterate(4_000, 7);
+    iterate(0, 5);
+    assertEquals(7, monitor.recentLatenessMillis());
+    iterate(20_000, 3);
+    iterate(0, 0);
+    assertEquals(3, monitor.recentLatenessMillis());
+  }
+
+  @Test
+  void aReportCountsIterationsByTheirDurationOnce() {
+    for (int i = 0; i < 90; i++) {
+      iterate(20, 3);
     }
-
-    /** Waits {@code select} ms for events, or 0 if some are ready, and handles them for {@code work} ms. */
-    private void iterate(long select, long work) {
-        iterate(select == 0, select, work);
-    }
-
-    private void iterate(boolean someReady, long select, long work) {
-        ready = someReady;
-        selectMillis = select;
-        handler.run(new Context());
-        pass(work);
+    for (int i = 0; i < 10; i++) {
+      iterate(0, 100);
     }
-
-    @Test
-    void anEventMayHaveComeRightAfterTheSelectorReturnedBefore() {
-        iterate(10, 0);
-        pass(300);
-        iterate(0, 0);
-        assertEquals(300, monitor.longestWaitMillis());
-        pass(40);
-        assertEquals(340, monitor.longestWaitMillis());
-        iterate(0, 0);
-        assertEquals(40, monitor.longestWaitMillis());
+    iterate(0, 0);
+    EventLoopMonitor.Report report = monitor.report();
+    assertEquals(new EventLoopMonitor.Report(100, 3, 127, 100), report);
+    iterate(0, 0);
+    assertEquals(new EventLoopMonitor.Report(1, 0, 0, 0), monitor.report());
+  }
+
+  /**
+   * The iterations that a loop takes for timers, one after another, each so many microseconds
+   * later.
+   */
+  private static long iterationsFor(int timers, long micros) throws Exception {
+    EventLoopMonitor watching = new EventLoopMonitor(System::nanoTime);
+    EventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, watching.watch(NioIoHandler.newFactory()));
+    try {
+      EventLoop loop = group.next();
+      long before = loop.submit(watching::iteration).get();
+      for (int i = 0; i < timers; i++) {
+        loop.schedule(() -> {}, micros, TimeUnit.MICROSECONDS).sync();
+      }
+      return loop.submit(watching::iteration).get() - before;
+    } finally {
+      group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
-
-    @Test
-    void aSelectorThatBlockedReturnedWithTheFirstEvent() {
-        iterate(10, 300);
-        iterate(0, 4);
-        assertEquals(304, monitor.longestWaitMillis());
-        iterate(25, 0);
-        assertEquals(0, monitor.longestWaitMillis());
-        pass(5);
-        assertEquals(5, monitor.longestWaitMillis());
+  }
+
+  @ParameterizedTest
+  @ValueSource(longs = {300, 1_300})
+  void aLoopThatWaitsForATimerDoesNotSpin(long micros) throws Exception {
+    int timers = 200;
+    long iterations = iterationsFor(timers, micros);
+    // To set it wakes the loop up, it is due, and it may be found to be due a little early.
+    assertTrue(iterations <= 4 * timers, iterations + " iterations for " + timers + " timers");
+  }
+
+  /**
+   * As the handlers of Netty: waits only if it may, asks whether to measure the time as soon as the
+   * selector has returned, and tells how many events it has handled.
+   */
+  private final class Selecting implements IoHandler {
+
+    @Override
+    public int run(IoHandlerContext context) {
+      boolean returns = ready || context.canBlock();
+      if (returns) {
+        pass(selectMillis);
+      }
+      context.shouldReportActiveIoTime();
+      return returns ? 1 : 0;
     }
 
-    @Test
-    void aSlowCallToTheSelectorHasNotBlockedIfSomethingWasReady() {
-        iterate(10, 300);
-        iterate(true, 25, 0);
-        assertEquals(325, monitor.longestWaitMillis());
+    @Override
+    public IoRegistration register(IoHandle handle) {
+      throw new UnsupportedOperationException();
     }
 
-    @Test
-    void whatIsReadyAndWhatIsWaitedForAreOneIteration() {
-        long before = monitor.iteration();
-        iterate(10, 0);
-        assertEquals(before + 1, monitor.iteration());
-        iterate(0, 0);
-        assertEquals(before + 2, monitor.iteration());
+    @Override
+    public void wakeup() {
+      throw new UnsupportedOperationException();
     }
 
-    @Test
-    void theLongestIterationIsRecentForFourToEightSeconds() {
-        iterate(10, 300);
-        iterate(10, 5);
-        assertEquals(300, monitor.recentLatenessMillis());
-        iterate(2_500, 5);
-        iterate(2_500, 5);
-        iterate(0, 5);
-        assertEquals(300, monitor.recentLatenessMillis());
-        iterate(4_000, 7);
-        iterate(0, 5);
-        assertEquals(7, monitor.recentLatenessMillis());
-        iterate(20_000, 3);
-        iterate(0, 0);
-        assertEquals(3, monitor.recentLatenessMillis());
+    @Override
+    public boolean isCompatible(Class<? extends IoHandle> handleType) {
+      return true;
     }
+  }
 
-    @Test
-    void aReportCountsIterationsByTheirDurationOnce() {
-        for (int i = 0; i < 90; i++) {
-            iterate(20, 3);
-        }
-        for (int i = 0; i < 10; i++) {
-            iterate(0, 100);
-        }
-        iterate(0, 0);
-        EventLoopMonitor.Report report = monitor.report();
-        assertEquals(new EventLoopMonitor.Report(100, 3, 127, 100), report);
-        iterate(0, 0);
-        assertEquals(new EventLoopMonitor.Report(1, 0, 0, 0), monitor.report());
-    }
+  private static final class Context implements IoHandlerContext {
 
-    /** The iterations that a loop takes for timers, one after another, each so many microseconds later. */
-    private static long iterationsFor(int timers, long micros) throws Exception {
-        EventLoopMonitor watching = new EventLoopMonitor(System::nanoTime);
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, watching.watch(NioIoHandler.newFactory()));
-        try {
-            EventLoop loop = group.next();
-            long before = loop.submit(watching::iteration).get();
-            for (int i = 0; i < timers; i++) {
-                loop.schedule(() -> { }, micros, TimeUnit.MICROSECONDS).sync();
-            }
-            return loop.submit(watching::iteration).get() - before;
-        } finally {
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
-        }
+    @Override
+    public boolean canBlock() {
+      return true;
     }
 
-    @ParameterizedTest
-    @ValueSource(longs = {300, 1_300})
-    void aLoopThatWaitsForATimerDoesNotSpin(long micros) throws Exception {
-        int timers = 200;
-        long iterations = iterationsFor(timers, micros);
-        // To set it wakes the loop up, it is due, and it may be found to be due a little early.
-        assertTrue(iterations <= 4 * timers, iterations + " iterations for " + timers + " timers");
+    @Override
+    public long delayNanos(long now) {
+      return 0;
     }
 
-    /**
-     * As the handlers of Netty: waits only if it may, asks whether to measure the time as soon as the
-     * selector has returned, and tells how many events it has handled.
-     */
-    private final class Selecting implements IoHandler {
-
-        @Override
-        public int run(IoHandlerContext context) {
-            boolean returns = ready || context.canBlock();
-            if (returns) {
-                pass(selectMillis);
-            }
-            context.shouldReportActiveIoTime();
-            return returns ? 1 : 0;
-        }
-
-        @Override
-        public IoRegistration register(IoHandle handle) {
-            throw new UnsupportedOperationException();
-        }
-
-        @Override
-        public void wakeup() {
-            throw new UnsupportedOperationException();
-        }
-
-        @Override
-        public boolean isCompatible(Class<? extends IoHandle> handleType) {
-            return true;
-        }
-    }
-
-    private static final class Context implements IoHandlerContext {
-
-        @Override
-        public boolean canBlock() {
-            return true;
-        }
-
-        @Override
-        public long delayNanos(long now) {
-            return 0;
-        }
-
-        @Override
-        public long deadlineNanos() {
-            return 0;
-        }
+    @Override
+    public long deadlineNanos() {
+      return 0;
     }
+  }
 }
--- a/src/test/java/cranedeal/node/FrontendTest.java
+++ b/src/test/java/cranedeal/node/FrontendTest.java
@@ -21,19 +21,20 @@
 @Timeout(60)
 class FrontendTest {
 
-    private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n";
-
-    @Test
-    void itIsHealthyOnceItListens() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(HEALTH);
-            assertEquals(200, caller.read().status());
-        }
+  private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n";
+
+  @Test
+  void itIsHealthyOnceItListens() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write(HEALTH);
+      assertEquals(200, caller.read().status());
     }
+  }
 
-    @ParameterizedTest
-    @ValueSource(strings = {
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
         "GET /nothing/7 HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: nothing\r\nX-Remaining: 1\r\n\r\n",
         "GET / HTTP/1.1\r\nX-Txn: 1\r\nX-Remaining: 1\r\n\r\n",
         "GET /look-up HTTP/1.1\r\nX-Lane: look-up\r\nX-Remaining: 1\r\n\r\n",
@@ -68,646 +69,681 @@
             + "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
         "POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\nX-Remaining: 1\r\n"
             + "Content-Length: 60\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
-            + "POST /credit-spend HTTP/1.1\r\nX-Txn: 2\r\n"})
-    void aMalformedRequestIsTheCallersFault(String request) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(request);
-            Peer.Message answer = caller.read();
-            assertEquals(400, answer.status());
-            assertEquals("close", answer.header("Connection"));
-            assertTrue(caller.ended());
-            // The first that the upstream sees is the next caller's request.
-            stage.servesStill();
-        }
-    }
-
-    @Test
-    void whatFollowsARequestIsToldAfterItsAnswer() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10") + "POST /credit-spend HTTP/1.1\r\nExpect: 100-continue\r\n"
-                    + "Content-Length: 60000000\r\n\r\n");
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            upstream.write(Stage.ok("first"));
-            assertEquals("first", caller.read().body());
-            assertEquals(413, caller.read().status());
-            assertTrue(caller.ended());
-        }
-    }
-
-    @Test
-    void aBodyIsAskedForWhereItsCallerWaitsForThat() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            String request = Stage.spend("1", "body").replace("Host:", "Expect: 100-continue\r\nHost:");
-            caller.write(request.substring(0, request.length() - 4));
-            assertEquals(100, caller.read().status());
-            caller.write("body");
-            Peer upstream = stage.upstreams.get(0).accept();
-            Peer.Message passed = upstream.read();
-            assertEquals("body", passed.body());
-            assertNull(passed.header("Expect"));
-            upstream.write(Stage.ok("served"));
-            assertEquals("served", caller.read().body());
-        }
-    }
-
-    @Test
-    void aCrowdOfRequestsSentAheadHasOneErrorAndTheFirstIsGivenUp() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("first", "x"));
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            StringBuilder crowd = new StringBuilder();
-            for (int i = 0; i < 300; i++) {
-                crowd.append(Stage.get("r" + i, "10"));
-            }
-            caller.write(crowd.toString());
-            assertEquals(400, caller.read().status());
-            assertTrue(caller.ended());
-            assertEquals(1, Script.next(stage.script.gone));
-            stage.script.onOutcome = outcome -> { };
-            assertEquals(0, stage.upstreams.get(0).waiting());
-        }
-    }
-
-    /** Lets so much time pass for callers, as far as their time-outs go. */
-    private static void later(Stage stage, double millis) throws Exception {
-        stage.node.onLoop((frontend, upstreams) -> {
-            frontend.sweep(stage.node.now() + millis);
-            return null;
+            + "POST /credit-spend HTTP/1.1\r\nX-Txn: 2\r\n"
+      })
+  void aMalformedRequestIsTheCallersFault(String request) throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write(request);
+      Peer.Message answer = caller.read();
+      assertEquals(400, answer.status());
+      assertEquals("close", answer.header("Connection"));
+      assertTrue(caller.ended());
+      // The first that the upstream sees is the next caller's request.
+      stage.servesStill();
+    }
+  }
+
+  @Test
+  void whatFollowsARequestIsToldAfterItsAnswer() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write(
+          Stage.get("1", "10")
+              + "POST /credit-spend HTTP/1.1\r\nExpect: 100-continue\r\n"
+              + "Content-Length: 60000000\r\n\r\n");
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      upstream.write(Stage.ok("first"));
+      assertEquals("first", caller.read().body());
+      assertEquals(413, caller.read().status());
+      assertTrue(caller.ended());
+    }
+  }
+
+  @Test
+  void aBodyIsAskedForWhereItsCallerWaitsForThat() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      String request = Stage.spend("1", "body").replace("Host:", "Expect: 100-continue\r\nHost:");
+      caller.write(request.substring(0, request.length() - 4));
+      assertEquals(100, caller.read().status());
+      caller.write("body");
+      Peer upstream = stage.upstreams.get(0).accept();
+      Peer.Message passed = upstream.read();
+      assertEquals("body", passed.body());
+      assertNull(passed.header("Expect"));
+      upstream.write(Stage.ok("served"));
+      assertEquals("served", caller.read().body());
+    }
+  }
+
+  @Test
+  void aCrowdOfRequestsSentAheadHasOneErrorAndTheFirstIsGivenUp() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("first", "x"));
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      StringBuilder crowd = new StringBuilder();
+      for (int i = 0; i < 300; i++) {
+        crowd.append(Stage.get("r" + i, "10"));
+      }
+      caller.write(crowd.toString());
+      assertEquals(400, caller.read().status());
+      assertTrue(caller.ended());
+      assertEquals(1, Script.next(stage.script.gone));
+      stage.script.onOutcome = outcome -> {};
+      assertEquals(0, stage.upstreams.get(0).waiting());
+    }
+  }
+
+  /** Lets so much time pass for callers, as far as their time-outs go. */
+  private static void later(Stage stage, double millis) throws Exception {
+    stage.node.onLoop(
+        (frontend, upstreams) -> {
+          frontend.sweep(stage.node.now() + millis);
+          return null;
         });
-    }
-
-    /** Returns once the node has taken in what callers sent before. */
-    private static void takenIn(Stage stage) throws Exception {
-        Peer other = stage.caller();
-        other.write(HEALTH);
-        other.read();
-        other.close();
-    }
-
-    @Test
-    void aSilentCallerIsClosedAndOneWithHalfARequestToldWhy() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer silent = stage.caller();
-            Peer[] slow = {stage.caller(), stage.caller(), stage.caller()};
-            slow[0].write("GET /look-up HT");
-            slow[1].write("GET /look-up HTTP/1.1\r\n");
-            slow[2].write("POST /credit-spend HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
-            takenIn(stage);
-            later(stage, 3_000);
-            assertTrue(silent.ended());
-            for (Peer caller : slow) {
-                assertEquals(408, caller.read().status());
-                assertTrue(caller.ended());
-            }
-            stage.servesStill();
-        }
-    }
-
-    @Test
-    void anIdleCallerIsClosedAndOneWhoseRequestIsAtWorkIsNot() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer idle = stage.caller();
-            idle.write(HEALTH);
-            idle.read();
-            Peer busy = stage.caller();
-            busy.write(HEALTH);
-            busy.read();
-            // It lies in the kernel or is at work; either way it must not be lost.
-            busy.write(Stage.get("1", "10"));
-            later(stage, 9_000);
-            assertTrue(idle.ended());
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            upstream.write(Stage.ok("kept"));
-            assertEquals("kept", busy.read().body());
-        }
-    }
-
-    @Test
-    void aCrowdDoesNotWaitWhileOthersOnlyRest() throws Exception {
-        try (Stage stage = new Stage()) {
-            stage.sockets = 64 + 20;
-            stage.start();
-            for (int i = 0; i < 200; i++) {
-                // Each keeps its connection for good, as far as it is asked.
-                Peer caller = stage.caller();
-                caller.write(HEALTH);
-                assertEquals(200, caller.read().status());
-            }
-        }
-    }
-
-    @Test
-    void aCrowdIsNotLetInBeyondTheDescriptorsWhenSomeOfItLeave() throws Exception {
-        try (Stage stage = new Stage()) {
-            stage.sockets = 64 + 5;
-            stage.start();
-            java.util.concurrent.atomic.AtomicInteger taken = new java.util.concurrent.atomic.AtomicInteger();
-            stage.script.onRequest = request -> taken.incrementAndGet();
-            Peer[] crowd = new Peer[80];
-            for (int i = 0; i < crowd.length; i++) {
-                crowd[i] = stage.caller();
-                crowd[i].write(Stage.get("r" + i, "20"));
-            }
-            for (int i = 0; i < 10; i++) {
-                later(stage, 0);
-            }
-            int before = taken.get();
-            assertTrue(before >= 5 && before <= 5 + 16, before + " let in");
-            // As long as too many are there, nobody takes the place of one that leaves.
-            for (int i = 0; i < before - 5; i++) {
-                crowd[i].close();
-                Script.next(stage.script.gone);
-                later(stage, 0);
-                later(stage, 0);
-            }
-            assertEquals(before, taken.get());
-            crowd[before - 1].close();
-            Script.next(stage.script.gone);
-            while (taken.get() == before) {
-                Thread.onSpinWait();
-            }
-        }
-    }
-
-    @Test
-    void anIdThatIsAtWorkIsTheNewcomersFault() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer first = stage.caller();
-            first.write(Stage.spend("same", "x"));
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            Peer second = stage.caller();
-            second.write(Stage.spend("same", "x"));
-            assertEquals(409, second.read().status());
-            assertTrue(second.ended());
-            upstream.write(Stage.ok("first"));
-            assertEquals("first", first.read().body());
-            // It is free again.
-            first.write(Stage.get("same", "10"));
-            assertEquals("same", upstream.read().header("X-Txn"));
-        }
-    }
-
-    @Test
-    void aClientThatLeftMaySendItsRequestAgain() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer first = stage.caller();
-            first.write(Stage.get("same", "10"));
-            stage.upstreams.get(0).accept().read();
-            first.close();
-            Peer second = stage.caller();
+  }
+
+  /** Returns once the node has taken in what callers sent before. */
+  private static void takenIn(Stage stage) throws Exception {
+    Peer other = stage.caller();
+    other.write(HEALTH);
+    other.read();
+    other.close();
+  }
+
+  @Test
+  void aSilentCallerIsClosedAndOneWithHalfARequestToldWhy() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer silent = stage.caller();
+      Peer[] slow = {stage.caller(), stage.caller(), stage.caller()};
+      slow[0].write("GET /look-up HT");
+      slow[1].write("GET /look-up HTTP/1.1\r\n");
+      slow[2].write("POST /credit-spend HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
+      takenIn(stage);
+      later(stage, 3_000);
+      assertTrue(silent.ended());
+      for (Peer caller : slow) {
+        assertEquals(408, caller.read().status());
+        assertTrue(caller.ended());
+      }
+      stage.servesStill();
+    }
+  }
+
+  @Test
+  void anIdleCallerIsClosedAndOneWhoseRequestIsAtWorkIsNot() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer idle = stage.caller();
+      idle.write(HEALTH);
+      idle.read();
+      Peer busy = stage.caller();
+      busy.write(HEALTH);
+      busy.read();
+      // It lies in the kernel or is at work; either way it must not be lost.
+      busy.write(Stage.get("1", "10"));
+      later(stage, 9_000);
+      assertTrue(idle.ended());
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      upstream.write(Stage.ok("kept"));
+      assertEquals("kept", busy.read().body());
+    }
+  }
+
+  @Test
+  void aCrowdDoesNotWaitWhileOthersOnlyRest() throws Exception {
+    try (Stage stage = new Stage()) {
+      stage.sockets = 64 + 20;
+      stage.start();
+      for (int i = 0; i < 200; i++) {
+        // Each keeps its connection for good, as far as it is asked.
+        Peer caller = stage.caller();
+        caller.write(HEALTH);
+        assertEquals(200, caller.read().status());
+      }
+    }
+  }
+
+  @Test
+  void aCrowdIsNotLetInBeyondTheDescriptorsWhenSomeOfItLeave() throws Exception {
+    try (Stage stage = new Stage()) {
+      stage.sockets = 64 + 5;
+      stage.start();
+      java.util.concurrent.atomic.AtomicInteger taken =
+          new java.util.concurrent.atomic.AtomicInteger();
+      stage.script.onRequest = request -> taken.incrementAndGet();
+      Peer[] crowd = new Peer[80];
+      for (int i = 0; i < crowd.length; i++) {
+        crowd[i] = stage.caller();
+        crowd[i].write(Stage.get("r" + i, "20"));
+      }
+      for (int i = 0; i < 10; i++) {
+        later(stage, 0);
+      }
+      int before = taken.get();
+      assertTrue(before >= 5 && before <= 5 + 16, before + " let in");
+      // As long as too many are there, nobody takes the place of one that leaves.
+      for (int i = 0; i < before - 5; i++) {
+        crowd[i].close();
+        Script.next(stage.script.gone);
+        later(stage, 0);
+        later(stage, 0);
+      }
+      assertEquals(before, taken.get());
+      crowd[before - 1].close();
+      Script.next(stage.script.gone);
+      while (taken.get() == before) {
+        Thread.onSpinWait();
+      }
+    }
+  }
+
+  @Test
+  void anIdThatIsAtWorkIsTheNewcomersFault() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer first = stage.caller();
+      first.write(Stage.spend("same", "x"));
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      Peer second = stage.caller();
+      second.write(Stage.spend("same", "x"));
+      assertEquals(409, second.read().status());
+      assertTrue(second.ended());
+      upstream.write(Stage.ok("first"));
+      assertEquals("first", first.read().body());
+      // It is free again.
+      first.write(Stage.get("same", "10"));
+      assertEquals("same", upstream.read().header("X-Txn"));
+    }
+  }
+
+  @Test
+  void aClientThatLeftMaySendItsRequestAgain() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer first = stage.caller();
+      first.write(Stage.get("same", "10"));
+      stage.upstreams.get(0).accept().read();
+      first.close();
+      Peer second = stage.caller();
+      second.write(Stage.get("same", "10"));
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      upstream.write(Stage.ok("second"));
+      assertEquals("second", second.read().body());
+    }
+  }
+
+  @Test
+  void aClientThatSendsAgainAndLeavesAtOnceIsNotTakenForAtWork() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer first = stage.caller();
+      first.write(Stage.get("same", "10"));
+      stage.upstreams.get(0).accept().read();
+      Peer second = stage.caller();
+      second.write(HEALTH);
+      second.read();
+      onLoop(
+          stage,
+          () -> {
+            // Both lie there when the node looks, and what came first is read first.
             second.write(Stage.get("same", "10"));
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            upstream.write(Stage.ok("second"));
-            assertEquals("second", second.read().body());
-        }
-    }
-
-    @Test
-    void aClientThatSendsAgainAndLeavesAtOnceIsNotTakenForAtWork() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer first = stage.caller();
-            first.write(Stage.get("same", "10"));
-            stage.upstreams.get(0).accept().read();
-            Peer second = stage.caller();
-            second.write(HEALTH);
-            second.read();
-            onLoop(stage, () -> {
-                // Both lie there when the node looks, and what came first is read first.
-                second.write(Stage.get("same", "10"));
-                first.close();
-            });
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            upstream.write(Stage.ok("second"));
-            assertEquals("second", second.read().body());
-        }
-    }
-
-    @ParameterizedTest
-    @CsvSource({"'', true", "ahead, false", "part, false", "flaw, false", "flaw, true"})
-    void aRequestWhoseClientLeftBehindMoreBeforeItWasLetInIsNotSentOn(String kind, boolean reset)
-            throws Exception {
-        try (Stage stage = new Stage().start()) {
-            onLoop(stage, () -> {
-                Peer left = Peer.to(stage.node.address());
-                left.write(Stage.get("left", "10") + behind(kind));
-                if (reset) {
-                    left.reset();
-                } else {
-                    left.close();
-                }
-            });
-            takenIn(stage);
-            Peer caller = stage.caller();
-            caller.write(Stage.get("stays", "10"));
-            assertEquals("stays", stage.upstreams.get(0).accept().read().header("X-Txn"));
-        }
-    }
-
-    @Test
-    void aRequestWhoseClientLeftBeforeItWasLetInIsNotSentOn() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            onLoop(stage, () -> {
-                try (Peer left = Peer.to(stage.node.address())) {
-                    left.write(Stage.get("left", "10"));
-                }
-            });
-            takenIn(stage);
-            Peer caller = stage.caller();
-            caller.write(Stage.get("stays", "10"));
-            assertEquals("stays", stage.upstreams.get(0).accept().read().header("X-Txn"));
-        }
-    }
-
-    @Test
-    void aRequestWhoseClientLeftBehindItOnAKeptConnectionIsNotSentOn() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer left = stage.caller();
-            left.write(HEALTH);
-            left.read();
-            onLoop(stage, () -> {
-                left.write(Stage.get("left", "10"));
-                left.close();
-            });
-            takenIn(stage);
-            Peer caller = stage.caller();
-            caller.write(Stage.get("stays", "10"));
-            assertEquals("stays", stage.upstreams.get(0).accept().read().header("X-Txn"));
-        }
-    }
-
-    private interface Job {
-        void run() throws java.io.IOException;
-    }
-
-    /** Does something while the node can't: all of it lies in the kernel when it looks again. */
-    private static void onLoop(Stage stage, Job job) throws Exception {
-        stage.node.onLoop((frontend, upstreams) -> {
-            try {
-                job.run();
-                return null;
-            } catch (java.io.IOException e) {
-                throw new java.io.UncheckedIOException(e);
-            }
-        });
-    }
-
-    @ParameterizedTest
-    @CsvSource({"1000, false", "1000, true", "5, false", "5, true", "0, false", "0, true"})
-    void aClientIsSeenToLeaveWhateverItSentBehindItsRequest(int kind, boolean reset) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            // The module keeps it in its queue, where it must not stay for its time.
-            AtomicReference<Double> deadline = new AtomicReference<>();
-            stage.script.onRequest = request -> deadline.set(request.deadline());
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("waits", "x").replace("X-Remaining: 10", "X-Remaining: 15"));
-            if (kind == 0) {
-                caller.write("no request at all\r\n\r\n" + "x".repeat(6 * 1024 * 1024));
+            first.close();
+          });
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      upstream.write(Stage.ok("second"));
+      assertEquals("second", second.read().body());
+    }
+  }
+
+  @ParameterizedTest
+  @CsvSource({"'', true", "ahead, false", "part, false", "flaw, false", "flaw, true"})
+  void aRequestWhoseClientLeftBehindMoreBeforeItWasLetInIsNotSentOn(String kind, boolean reset)
+      throws Exception {
+    try (Stage stage = new Stage().start()) {
+      onLoop(
+          stage,
+          () -> {
+            Peer left = Peer.to(stage.node.address());
+            left.write(Stage.get("left", "10") + behind(kind));
+            if (reset) {
+              left.reset();
             } else {
-                for (int i = 0; i < 5; i++) {
-                    caller.write(Stage.spend("ahead" + i, "b".repeat(60 * kind)));
-                }
+              left.close();
             }
-            takenIn(stage);
+          });
+      takenIn(stage);
+      Peer caller = stage.caller();
+      caller.write(Stage.get("stays", "10"));
+      assertEquals("stays", stage.upstreams.get(0).accept().read().header("X-Txn"));
+    }
+  }
+
+  @Test
+  void aRequestWhoseClientLeftBeforeItWasLetInIsNotSentOn() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      onLoop(
+          stage,
+          () -> {
+            try (Peer left = Peer.to(stage.node.address())) {
+              left.write(Stage.get("left", "10"));
+            }
+          });
+      takenIn(stage);
+      Peer caller = stage.caller();
+      caller.write(Stage.get("stays", "10"));
+      assertEquals("stays", stage.upstreams.get(0).accept().read().header("X-Txn"));
+    }
+  }
+
+  @Test
+  void aRequestWhoseClientLeftBehindItOnAKeptConnectionIsNotSentOn() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer left = stage.caller();
+      left.write(HEALTH);
+      left.read();
+      onLoop(
+          stage,
+          () -> {
+            left.write(Stage.get("left", "10"));
+            left.close();
+          });
+      takenIn(stage);
+      Peer caller = stage.caller();
+      caller.write(Stage.get("stays", "10"));
+      assertEquals("stays", stage.upstreams.get(0).accept().read().header("X-Txn"));
+    }
+  }
+
+  private interface Job {
+    void run() throws java.io.IOException;
+  }
+
+  /** Does something while the node can't: all of it lies in the kernel when it looks again. */
+  private static void onLoop(Stage stage, Job job) throws Exception {
+    stage.node.onLoop(
+        (frontend, upstreams) -> {
+          try {
+            job.run();
+            return null;
+          } catch (java.io.IOException e) {
+            throw new java.io.UncheckedIOException(e);
+          }
+        });
+  }
+
+  @ParameterizedTest
+  @CsvSource({"1000, false", "1000, true", "5, false", "5, true", "0, false", "0, true"})
+  void aClientIsSeenToLeaveWhateverItSentBehindItsRequest(int kind, boolean reset)
+      throws Exception {
+    try (Stage stage = new Stage().start()) {
+      // The module keeps it in its queue, where it must not stay for its time.
+      AtomicReference<Double> deadline = new AtomicReference<>();
+      stage.script.onRequest = request -> deadline.set(request.deadline());
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("waits", "x").replace("X-Remaining: 10", "X-Remaining: 15"));
+      if (kind == 0) {
+        caller.write("no request at all\r\n\r\n" + "x".repeat(6 * 1024 * 1024));
+      } else {
+        for (int i = 0; i < 5; i++) {
+          caller.write(Stage.spend("ahead" + i, "b".repeat(60 * kind)));
+        }
+      }
+      takenIn(stage);
+      if (reset) {
+        caller.reset();
+      } else {
+        caller.close();
+      }
+      assertEquals(1, Script.next(stage.script.gone));
+      assertTrue(stage.node.now() < deadline.get());
+    }
+  }
+
+  /**
+   * What a client sends behind its request before it leaves, which reading from it has to get past.
+   */
+  private static String behind(String kind) {
+    return switch (kind) {
+      case "ahead" -> Stage.spend("ahead", "b".repeat(30_000));
+      case "part" ->
+          "POST /credit-spend HTTP/1.1\r\nContent-Length: 60000\r\n\r\n" + "b".repeat(30_000);
+      case "flaw" -> "no request at all\r\n\r\n" + "x".repeat(30_000);
+      default -> "";
+    };
+  }
+
+  @ParameterizedTest
+  @CsvSource({"'', false", "'', true", "ahead, false", "part, false", "flaw, false"})
+  void anAttemptDoesNotBeginWhileItsClientsLeavingLiesUnread(String kind, boolean reset)
+      throws Exception {
+    try (Stage stage = new Stage().start()) {
+      LinkedBlockingQueue<Request> held = new LinkedBlockingQueue<>();
+      stage.script.onRequest = held::add;
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("waits", "x"));
+      Request request = Script.next(held);
+      onLoop(
+          stage,
+          () -> {
+            caller.write(behind(kind));
             if (reset) {
-                caller.reset();
+              caller.reset();
             } else {
-                caller.close();
+              caller.close();
             }
-            assertEquals(1, Script.next(stage.script.gone));
-            assertTrue(stage.node.now() < deadline.get());
-        }
-    }
-
-    /** What a client sends behind its request before it leaves, which reading from it has to get past. */
-    private static String behind(String kind) {
-        return switch (kind) {
-            case "ahead" -> Stage.spend("ahead", "b".repeat(30_000));
-            case "part" -> "POST /credit-spend HTTP/1.1\r\nContent-Length: 60000\r\n\r\n"
-                    + "b".repeat(30_000);
-            case "flaw" -> "no request at all\r\n\r\n" + "x".repeat(30_000);
-            default -> "";
-        };
-    }
-
-    @ParameterizedTest
-    @CsvSource({"'', false", "'', true", "ahead, false", "part, false", "flaw, false"})
-    void anAttemptDoesNotBeginWhileItsClientsLeavingLiesUnread(String kind, boolean reset) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            LinkedBlockingQueue<Request> held = new LinkedBlockingQueue<>();
-            stage.script.onRequest = held::add;
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("waits", "x"));
-            Request request = Script.next(held);
-            onLoop(stage, () -> {
-                caller.write(behind(kind));
-                if (reset) {
-                    caller.reset();
-                } else {
-                    caller.close();
-                }
-                // The module has found a server for it, in the same round of the loop.
-                stage.script.sendTo(0, request, 0);
-            });
-            assertEquals(Result.NOT_SENT, stage.script.result());
-            assertEquals(1, Script.next(stage.script.gone));
-            takenIn(stage);
-            assertEquals(0, stage.upstreams.get(0).waiting());
-            assertTrue(stage.script.gone.isEmpty());
-        }
-    }
-
-    @ParameterizedTest
-    @ValueSource(booleans = {false, true})
-    void aFurtherAttemptDoesNotBeginWhileItsClientsLeavingLiesUnread(boolean halfOnly) throws Exception {
-        try (Stage stage = new Stage(2).start()) {
-            Peer caller = stage.caller();
-            stage.script.onOpen = (actions, outcome) -> {
-                try {
-                    if (halfOnly) {
-                        // Who ends its sending has given its request up, as the protocol has it elsewhere.
-                        caller.socket.shutdownOutput();
-                    } else {
-                        caller.close();
-                    }
-                } catch (java.io.IOException e) {
-                    throw new java.io.UncheckedIOException(e);
-                }
-                actions.send(outcome.requestId(), stage.script.upstreams.get(1).id(), 0);
-            };
-            caller.write(Stage.get("again", "10"));
-            Peer first = stage.upstreams.get(0).accept();
-            first.read();
-            first.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-            assertEquals(Result.ERROR, stage.script.result());
-            assertEquals(Result.NOT_SENT, stage.script.result());
-            assertEquals(1, Script.next(stage.script.gone));
-            takenIn(stage);
-            assertEquals(0, stage.upstreams.get(1).waiting());
-        }
-    }
-
-    @ParameterizedTest
-    @CsvSource({"1,960", "0.2,180", "100,19960"})
-    void aRequestsTimeEndsEarlyEnoughToTellItsClient(String remaining, double atMost) throws Exception {
-        try (Stage stage = new Stage()) {
-            LinkedBlockingQueue<Double> left = new LinkedBlockingQueue<>();
-            stage.script.onRequest = request -> {
-                left.add(request.deadline() - stage.node.now());
-                stage.script.actions.refuse(request.id(), 0);
-            };
-            stage.start();
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", remaining));
-            assertEquals(503, caller.read().status());
-            double told = Script.next(left);
-            assertTrue(told <= atMost, told + " ms");
-        }
-    }
-
-    @Test
-    void twoNodesInOneProcessKeepTheirSettingsApart() throws Exception {
-        try (Stage one = new Stage(); Stage other = new Stage()) {
-            // What may be repeated in the one must not run twice in the other, whatever its place and name.
-            other.edit = config -> config.replace("look-up", "\0").replace("credit-spend", "look-up")
-                    .replace("\0", "credit-spend");
-            one.start();
-            other.start();
-            for (Stage stage : new Stage[] {other, one, other}) {
-                Peer getter = stage.caller();
-                getter.write(Stage.get("g", "10"));
-                Peer spender = stage.caller();
-                spender.write(Stage.spend("s", "x"));
-                // Both are out before one is answered, or the second could come on the first's connection.
-                List<Peer> out = new ArrayList<>();
-                for (int i = 0; stage == one && i < 2; i++) {
-                    out.add(stage.upstreams.get(0).accept());
-                    out.get(i).read();
-                }
-                for (Peer upstream : out) {
-                    upstream.write(Stage.ok("served"));
-                }
-                for (Peer caller : new Peer[] {getter, spender}) {
-                    assertEquals(stage == one ? 200 : 400, caller.read().status());
-                }
+            // The module has found a server for it, in the same round of the loop.
+            stage.script.sendTo(0, request, 0);
+          });
+      assertEquals(Result.NOT_SENT, stage.script.result());
+      assertEquals(1, Script.next(stage.script.gone));
+      takenIn(stage);
+      assertEquals(0, stage.upstreams.get(0).waiting());
+      assertTrue(stage.script.gone.isEmpty());
+    }
+  }
+
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void aFurtherAttemptDoesNotBeginWhileItsClientsLeavingLiesUnread(boolean halfOnly)
+      throws Exception {
+    try (Stage stage = new Stage(2).start()) {
+      Peer caller = stage.caller();
+      stage.script.onOpen =
+          (actions, outcome) -> {
+            try {
+              if (halfOnly) {
+                // Who ends its sending has given its request up, as the protocol has it elsewhere.
+                caller.socket.shutdownOutput();
+              } else {
+                caller.close();
+              }
+            } catch (java.io.IOException e) {
+              throw new java.io.UncheckedIOException(e);
             }
-            assertEquals(0, other.upstreams.get(0).waiting());
-        }
-    }
-
-    @Test
-    void theTimeOfARequestRunsWhileItWaitsForItsTurn() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10") + Stage.get("2", "0.001"));
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            takenIn(stage);
-            LinkedBlockingQueue<Double> deadlines = new LinkedBlockingQueue<>();
-            stage.script.onRequest = request -> {
-                deadlines.add(request.deadline());
-                stage.script.sendTo(0, request, 0);
-            };
-            double answered = stage.node.now();
-            upstream.write(Stage.ok("first"));
-            assertTrue(Script.next(deadlines) < answered + 1);
-            assertEquals("first", caller.read().body());
-            // It was over before its turn came, and has its answer all the same.
-            assertEquals(502, caller.read().status());
-            assertEquals(0, stage.upstreams.get(0).waiting());
-        }
-    }
-
-    @Test
-    void aBodyOverTheLimitIsTurnedDown() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "b".repeat(UpstreamClient.MAX_BODY + 1)));
-            assertEquals(413, caller.read().status());
-            stage.servesStill();
-        }
-    }
-
-    @Test
-    void aCallerThatStillSendsHasItsAnswerAllTheSame() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write("no request at all\r\n\r\n");
-            // The answer may be out before the rest comes in; it must not be lost to a reset.
-            caller.write("x".repeat(200_000));
-            assertEquals(400, caller.read().status());
-            caller.socket.shutdownOutput();
-            assertTrue(caller.ended());
-        }
-    }
-
-    @Test
-    void headersOverTheLimitAreTurnedDown() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write("GET /look-up HTTP/1.1\r\nX-Labels: " + "x".repeat(20_000) + "\r\n\r\n");
-            int status = caller.read().status();
-            assertTrue(status >= 400 && status < 500 && status != 429, "status " + status);
-            stage.servesStill();
-        }
-    }
-
-    @Test
-    void aRefusalSaysWhenToComeBackAndAFailureIsNoRefusal() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.script.onRequest = request -> stage.script.actions.refuse(request.id(), 250);
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            Peer.Message refused = caller.read();
-            assertEquals(503, refused.status());
-            assertEquals("0.250", refused.header("Retry-After"));
-            stage.script.onRequest = request -> stage.script.actions.refuse(request.id(), 0);
-            caller.write(Stage.get("2", "10"));
-            assertNull(caller.read().header("Retry-After"));
-            stage.script.onRequest = request -> stage.script.actions.fail(request.id());
-            caller.write(Stage.get("3", "10"));
-            assertEquals(502, caller.read().status());
-        }
-    }
-
-    @Test
-    void anAnswerIsGivenOnceOnly() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.script.onRequest = request -> {
-                stage.script.actions.fail(request.id());
-                stage.script.actions.refuse(request.id(), 0);
-                stage.script.actions.fail(request.id());
-            };
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            assertEquals(502, caller.read().status());
-            caller.write(HEALTH);
-            assertEquals(200, caller.read().status());
-        }
-    }
-
-    @Test
-    void requestsSentAheadAreAnsweredInTheirOrder() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10") + Stage.get("2", "10") + HEALTH);
-            Peer upstream = stage.upstreams.get(0).accept();
-            assertEquals("1", upstream.read().header("X-Txn"));
-            upstream.write(Stage.ok("first"));
-            // The first answer frees its connection only after the next request has looked for one.
-            assertEquals("first", caller.read().body());
-            Peer second = stage.upstreams.get(0).accept();
-            assertEquals("2", second.read().header("X-Txn"));
-            second.write(Stage.ok("second"));
-            assertEquals("second", caller.read().body());
-            assertEquals(200, caller.read().status());
-        }
-    }
-
-    @Test
-    void aCallerThatLeavesIsGoneOnceAndLaterOutcomesAreDropped() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            caller.close();
-            assertEquals(1, Script.next(stage.script.gone));
-            upstream.write(Stage.ok("nobody waits"));
-            assertTrue(Script.next(stage.script.outcomes).closed());
-            stage.script.onRequest = request -> stage.script.actions.fail(request.id());
-            Peer other = stage.caller();
-            other.write(Stage.get("2", "10"));
-            other.read();
-            assertTrue(stage.script.gone.isEmpty());
-        }
-    }
-
-    @ParameterizedTest
-    @CsvSource({"request", "outcome", "timer"})
-    void anExceptionInTheModuleFailsThatRequestOnly(String where) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Script script = stage.script;
-            Runnable broken = () -> {
-                throw new IllegalStateException("made by a test");
-            };
-            if (where.equals("request")) {
-                script.onRequest = request -> broken.run();
-            } else if (where.equals("outcome")) {
-                script.onOpen = (actions, outcome) -> broken.run();
+            actions.send(outcome.requestId(), stage.script.upstreams.get(1).id(), 0);
+          };
+      caller.write(Stage.get("again", "10"));
+      Peer first = stage.upstreams.get(0).accept();
+      first.read();
+      first.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+      assertEquals(Result.ERROR, stage.script.result());
+      assertEquals(Result.NOT_SENT, stage.script.result());
+      assertEquals(1, Script.next(stage.script.gone));
+      takenIn(stage);
+      assertEquals(0, stage.upstreams.get(1).waiting());
+    }
+  }
+
+  @ParameterizedTest
+  @CsvSource({"1,960", "0.2,180", "100,19960"})
+  void aRequestsTimeEndsEarlyEnoughToTellItsClient(String remaining, double atMost)
+      throws Exception {
+    try (Stage stage = new Stage()) {
+      LinkedBlockingQueue<Double> left = new LinkedBlockingQueue<>();
+      stage.script.onRequest =
+          request -> {
+            left.add(request.deadline() - stage.node.now());
+            stage.script.actions.refuse(request.id(), 0);
+          };
+      stage.start();
+      Peer caller = stage.caller();
+      caller.write(Stage.get("1", remaining));
+      assertEquals(503, caller.read().status());
+      double told = Script.next(left);
+      assertTrue(told <= atMost, told + " ms");
+    }
+  }
+
+  @Test
+  void twoNodesInOneProcessKeepTheirSettingsApart() throws Exception {
+    try (Stage one = new Stage();
+        Stage other = new Stage()) {
+      // What may be repeated in the one must not run twice in the other, whatever its place and
+      // name.
+      other.edit =
+          config ->
+              config
+                  .replace("look-up", "\0")
+                  .replace("credit-spend", "look-up")
+                  .replace("\0", "credit-spend");
+      one.start();
+      other.start();
+      for (Stage stage : new Stage[] {other, one, other}) {
+        Peer getter = stage.caller();
+        getter.write(Stage.get("g", "10"));
+        Peer spender = stage.caller();
+        spender.write(Stage.spend("s", "x"));
+        // Both are out before one is answered, or the second could come on the first's connection.
+        List<Peer> out = new ArrayList<>();
+        for (int i = 0; stage == one && i < 2; i++) {
+          out.add(stage.upstreams.get(0).accept());
+          out.get(i).read();
+        }
+        for (Peer upstream : out) {
+          upstream.write(Stage.ok("served"));
+        }
+        for (Peer caller : new Peer[] {getter, spender}) {
+          assertEquals(stage == one ? 200 : 400, caller.read().status());
+        }
+      }
+      assertEquals(0, other.upstreams.get(0).waiting());
+    }
+  }
+
+  @Test
+  void theTimeOfARequestRunsWhileItWaitsForItsTurn() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write(Stage.get("1", "10") + Stage.get("2", "0.001"));
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      takenIn(stage);
+      LinkedBlockingQueue<Double> deadlines = new LinkedBlockingQueue<>();
+      stage.script.onRequest =
+          request -> {
+            deadlines.add(request.deadline());
+            stage.script.sendTo(0, request, 0);
+          };
+      double answered = stage.node.now();
+      upstream.write(Stage.ok("first"));
+      assertTrue(Script.next(deadlines) < answered + 1);
+      assertEquals("first", caller.read().body());
+      // It was over before its turn came, and has its answer all the same.
+      assertEquals(502, caller.read().status());
+      assertEquals(0, stage.upstreams.get(0).waiting());
+    }
+  }
+
+  @Test
+  void aBodyOverTheLimitIsTurnedDown() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("1", "b".repeat(UpstreamClient.MAX_BODY + 1)));
+      assertEquals(413, caller.read().status());
+      stage.servesStill();
+    }
+  }
+
+  @Test
+  void aCallerThatStillSendsHasItsAnswerAllTheSame() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write("no request at all\r\n\r\n");
+      // The answer may be out before the rest comes in; it must not be lost to a reset.
+      caller.write("x".repeat(200_000));
+      assertEquals(400, caller.read().status());
+      caller.socket.shutdownOutput();
+      assertTrue(caller.ended());
+    }
+  }
+
+  @Test
+  void headersOverTheLimitAreTurnedDown() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write("GET /look-up HTTP/1.1\r\nX-Labels: " + "x".repeat(20_000) + "\r\n\r\n");
+      int status = caller.read().status();
+      assertTrue(status >= 400 && status < 500 && status != 429, "status " + status);
+      stage.servesStill();
+    }
+  }
+
+  @Test
+  void aRefusalSaysWhenToComeBackAndAFailureIsNoRefusal() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      stage.script.onRequest = request -> stage.script.actions.refuse(request.id(), 250);
+      Peer caller = stage.caller();
+      caller.write(Stage.get("1", "10"));
+      Peer.Message refused = caller.read();
+      assertEquals(503, refused.status());
+      assertEquals("0.250", refused.header("Retry-After"));
+      stage.script.onRequest = request -> stage.script.actions.refuse(request.id(), 0);
+      caller.write(Stage.get("2", "10"));
+      assertNull(caller.read().header("Retry-After"));
+      stage.script.onRequest = request -> stage.script.actions.fail(request.id());
+      caller.write(Stage.get("3", "10"));
+      assertEquals(502, caller.read().status());
+    }
+  }
+
+  @Test
+  void anAnswerIsGivenOnceOnly() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      stage.script.onRequest =
+          request -> {
+            stage.script.actions.fail(request.id());
+            stage.script.actions.refuse(request.id(), 0);
+            stage.script.actions.fail(request.id());
+          };
+      Peer caller = stage.caller();
+      caller.write(Stage.get("1", "10"));
+      assertEquals(502, caller.read().status());
+      caller.write(HEALTH);
+      assertEquals(200, caller.read().status());
+    }
+  }
+
+  @Test
+  void requestsSentAheadAreAnsweredInTheirOrder() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write(Stage.get("1", "10") + Stage.get("2", "10") + HEALTH);
+      Peer upstream = stage.upstreams.get(0).accept();
+      assertEquals("1", upstream.read().header("X-Txn"));
+      upstream.write(Stage.ok("first"));
+      // The first answer frees its connection only after the next request has looked for one.
+      assertEquals("first", caller.read().body());
+      Peer second = stage.upstreams.get(0).accept();
+      assertEquals("2", second.read().header("X-Txn"));
+      second.write(Stage.ok("second"));
+      assertEquals("second", caller.read().body());
+      assertEquals(200, caller.read().status());
+    }
+  }
+
+  @Test
+  void aCallerThatLeavesIsGoneOnceAndLaterOutcomesAreDropped() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("1", "x"));
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      caller.close();
+      assertEquals(1, Script.next(stage.script.gone));
+      upstream.write(Stage.ok("nobody waits"));
+      assertTrue(Script.next(stage.script.outcomes).closed());
+      stage.script.onRequest = request -> stage.script.actions.fail(request.id());
+      Peer other = stage.caller();
+      other.write(Stage.get("2", "10"));
+      other.read();
+      assertTrue(stage.script.gone.isEmpty());
+    }
+  }
+
+  @ParameterizedTest
+  @CsvSource({"request", "outcome", "timer"})
+  void anExceptionInTheModuleFailsThatRequestOnly(String where) throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Script script = stage.script;
+      Runnable broken =
+          () -> {
+            throw new IllegalStateException("made by a test");
+          };
+      if (where.equals("request")) {
+        script.onRequest = request -> broken.run();
+      } else if (where.equals("outcome")) {
+        script.onOpen = (actions, outcome) -> broken.run();
+      } else {
+        script.onRequest = request -> script.actions.setTimer(7, 0);
+        script.onTimer = broken;
+      }
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("1", "x"));
+      if (where.equals("outcome")) {
+        Peer upstream = stage.upstreams.get(0).accept();
+        upstream.read();
+        upstream.close();
+      }
+      assertEquals(500, caller.read().status());
+      assertEquals(1, Script.next(script.gone));
+      script.onRequest = request -> script.sendTo(0, request, 0);
+      script.onOpen = (actions, outcome) -> {};
+      stage.servesStill();
+    }
+  }
+
+  @Test
+  void aRequestThatTheModuleForgetsFailsSoonAfterItsDeadline() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      stage.script.onRequest = request -> {};
+      Peer caller = stage.caller();
+      caller.write(Stage.get("1", "0.1"));
+      assertEquals(504, caller.read().status());
+      assertEquals(1, Script.next(stage.script.gone));
+    }
+  }
+
+  @Test
+  void anEventThatAnActionCausesWaitsForTheModulesCallToReturn() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      boolean[] inside = new boolean[1];
+      boolean[] nested = new boolean[1];
+      stage.script.onOutcome = outcome -> nested[0] |= inside[0];
+      stage.script.onRequest =
+          request -> {
+            inside[0] = true;
+            // No such upstream: the attempt has ended before the action returns.
+            stage.script.actions.send(request.id(), 12_345, 0);
+            inside[0] = false;
+          };
+      Peer caller = stage.caller();
+      caller.write(Stage.get("1", "10"));
+      assertEquals(502, caller.read().status());
+      assertFalse(nested[0]);
+    }
+  }
+
+  @Test
+  void anAttemptOverTheLimitIsNotSent() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      stage.upstreams.get(0).close();
+      stage.script.onOpen =
+          (actions, outcome) -> {
+            if (outcome.result() == cranedeal.LoadBalancer.Result.NOT_SENT) {
+              actions.refuse(outcome.requestId(), 0);
             } else {
-                script.onRequest = request -> script.actions.setTimer(7, 0);
-                script.onTimer = broken;
+              actions.send(outcome.requestId(), outcome.upstream(), 0);
             }
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            if (where.equals("outcome")) {
-                Peer upstream = stage.upstreams.get(0).accept();
-                upstream.read();
-                upstream.close();
-            }
-            assertEquals(500, caller.read().status());
-            assertEquals(1, Script.next(script.gone));
-            script.onRequest = request -> script.sendTo(0, request, 0);
-            script.onOpen = (actions, outcome) -> { };
-            stage.servesStill();
-        }
-    }
-
-    @Test
-    void aRequestThatTheModuleForgetsFailsSoonAfterItsDeadline() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.script.onRequest = request -> { };
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "0.1"));
-            assertEquals(504, caller.read().status());
-            assertEquals(1, Script.next(stage.script.gone));
-        }
-    }
-
-    @Test
-    void anEventThatAnActionCausesWaitsForTheModulesCallToReturn() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            boolean[] inside = new boolean[1];
-            boolean[] nested = new boolean[1];
-            stage.script.onOutcome = outcome -> nested[0] |= inside[0];
-            stage.script.onRequest = request -> {
-                inside[0] = true;
-                // No such upstream: the attempt has ended before the action returns.
-                stage.script.actions.send(request.id(), 12_345, 0);
-                inside[0] = false;
-            };
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            assertEquals(502, caller.read().status());
-            assertFalse(nested[0]);
-        }
-    }
-
-    @Test
-    void anAttemptOverTheLimitIsNotSent() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.upstreams.get(0).close();
-            stage.script.onOpen = (actions, outcome) -> {
-                if (outcome.result() == cranedeal.LoadBalancer.Result.NOT_SENT) {
-                    actions.refuse(outcome.requestId(), 0);
-                } else {
-                    actions.send(outcome.requestId(), outcome.upstream(), 0);
-                }
-            };
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            assertEquals(503, caller.read().status());
-            assertEquals(5, stage.script.outcomes.size());
-        }
+          };
+      Peer caller = stage.caller();
+      caller.write(Stage.get("1", "10"));
+      assertEquals(503, caller.read().status());
+      assertEquals(5, stage.script.outcomes.size());
     }
+  }
 }
--- a/src/test/java/cranedeal/node/JsonTest.java
+++ b/src/test/java/cranedeal/node/JsonTest.java
@@ -14,29 +14,65 @@
 
 class JsonTest {
 
-    private static JsonNode read(String text) throws IOException {
-        return Json.read(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)));
-    }
+  private static JsonNode read(String text) throws IOException {
+    return Json.read(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)));
+  }
 
-    @Test
-    void aTreeIsTheSameAsTheMappers() throws IOException {
-        for (String text : List.of("{}", "[]", " {\r\n\t\"a\" : [ ] } ", "\"\\u00e9\\n\u00e9\"", "0", "-7",
-                "2147483648", "123456789012345678901", "1.0", "0.1", "-2.5e3", "true", "false", "null",
-                "{\"a\":1,\"a\":{\"b\":[1,2.5,\"x\",null,true,{\"c\":[]}]},\"d\":\"\"}", "[[[[]],{}],1] 2")) {
-            JsonNode expected = new JsonMapper().readTree(text);
-            assertEquals(expected, read(text));
-            assertEquals(expected.toString(), read(text).toString());
-        }
-        assertTrue(read("").isMissingNode());
-        assertTrue(read(" \n").isMissingNode());
+  @Test
+  void aTreeIsTheSameAsTheMappers() throws IOException {
+    for (String text :
+        List.of(
+            "{}",
+            "[]",
+            " {\r\n\t\"a\" : [ ] } ",
+            "\"\\u00e9\\n\u00e9\"",
+            "0",
+            "-7",
+            "2147483648",
+            "123456789012345678901",
+            "1.0",
+            "0.1",
+            "-2.5e3",
+            "true",
+            "false",
+            "null",
+            "{\"a\":1,\"a\":{\"b\":[1,2.5,\"x\",null,true,{\"c\":[]}]},\"d\":\"\"}",
+            "[[[[]],{}],1] 2")) {
+      JsonNode expected = new JsonMapper().readTree(text);
+      assertEquals(expected, read(text));
+      assertEquals(expected.toString(), read(text).toString());
     }
+    assertTrue(read("").isMissingNode());
+    assertTrue(read(" \n").isMissingNode());
+  }
 
-    @Test
-    void whatIsNoJsonIsAnError() {
-        for (String text : List.of("{", "[", "}", "]", "{\"a\"", "{\"a\":", "{\"a\":}", "{\"a\":1",
-                "{\"a\" 1}", "{a:1}", "[1", "[1,", "[1,]", "[1 2]", "\"a", "nul", "NaN", "01", "[1}",
-                "[".repeat(100_000), "{\"a\":".repeat(100_000))) {
-            assertThrows(IOException.class, () -> read(text), text.substring(0, Math.min(9, text.length())));
-        }
+  @Test
+  void whatIsNoJsonIsAnError() {
+    for (String text :
+        List.of(
+            "{",
+            "[",
+            "}",
+            "]",
+            "{\"a\"",
+            "{\"a\":",
+            "{\"a\":}",
+            "{\"a\":1",
+            "{\"a\" 1}",
+            "{a:1}",
+            "[1",
+            "[1,",
+            "[1,]",
+            "[1 2]",
+            "\"a",
+            "nul",
+            "NaN",
+            "01",
+            "[1}",
+            "[".repeat(100_000),
+            "{\"a\":".repeat(100_000))) {
+      assertThrows(
+          IOException.class, () -> read(text), text.substring(0, Math.min(9, text.length())));
     }
+  }
 }
--- a/src/test/java/cranedeal/node/LogLimitTest.java
+++ b/src/test/java/cranedeal/node/LogLimitTest.java
@@ -11,19 +11,19 @@
 /** A log that misbehaving peers can't fill. */
 class LogLimitTest {
 
-    @Test
-    void whatIsTooMuchIsDroppedAndCounted() {
-        double[] now = {0};
-        LogLimit limit = new LogLimit(() -> now[0]);
-        for (int i = 0; i < 10; i++) {
-            assertTrue(limit.isLoggable(new LogRecord(Level.INFO, "a")));
-        }
-        for (int i = 0; i < 7; i++) {
-            assertFalse(limit.isLoggable(new LogRecord(Level.INFO, "b")));
-        }
-        now[0] = 5_000;
-        LogRecord next = new LogRecord(Level.INFO, "c");
-        assertTrue(limit.isLoggable(next));
-        assertEquals("c (7 lines before this one were dropped)", next.getMessage());
+  @Test
+  void whatIsTooMuchIsDroppedAndCounted() {
+    double[] now = {0};
+    LogLimit limit = new LogLimit(() -> now[0]);
+    for (int i = 0; i < 10; i++) {
+      assertTrue(limit.isLoggable(new LogRecord(Level.INFO, "a")));
     }
+    for (int i = 0; i < 7; i++) {
+      assertFalse(limit.isLoggable(new LogRecord(Level.INFO, "b")));
+    }
+    now[0] = 5_000;
+    LogRecord next = new LogRecord(Level.INFO, "c");
+    assertTrue(limit.isLoggable(next));
+    assertEquals("c (7 lines before this one were dropped)", next.getMessage());
+  }
 }
--- a/src/test/java/cranedeal/node/Peer.java
+++ b/src/test/java/cranedeal/node/Peer.java
@@ -13,109 +13,110 @@
 /** One end of a plain HTTP/1.1 connection, with nothing between the test and the bytes. */
 final class Peer implements AutoCloseable {
 
-    /** A message as it came: its first line, its headers by lower-case name, its body. */
-    record Message(String first, Map<String, String> headers, String body) {
+  /** A message as it came: its first line, its headers by lower-case name, its body. */
+  record Message(String first, Map<String, String> headers, String body) {
 
-        int status() {
-            return Integer.parseInt(first.split(" ")[1]);
-        }
-
-        String header(String name) {
-            return headers.get(name.toLowerCase(Locale.ROOT));
-        }
-    }
-
-    static final int PATIENCE_MS = 20_000;
-
-    final Socket socket;
-    private final InputStream in;
-
-    Peer(Socket socket) throws IOException {
-        this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MS);
-        socket.setTcpNoDelay(true);
-        in = socket.getInputStream();
+    int status() {
+      return Integer.parseInt(first.split(" ")[1]);
     }
 
-    static Peer to(InetSocketAddress address) throws IOException {
-        return new Peer(new Socket(InetAddress.getLoopbackAddress(), address.getPort()));
+    String header(String name) {
+      return headers.get(name.toLowerCase(Locale.ROOT));
     }
-
-    /** Connects as soon as the process serves. */
-    static Peer toServing(InetSocketAddress address, Process process) throws IOException {
-        while (true) {
-            try {
-                Peer peer = to(address);
-                peer.write("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
-                if (peer.read().status() != 200) {
-                    throw new AssertionError("not healthy");
-                }
-                return peer;
-            } catch (IOException e) {
-                if (!process.isAlive()) {
-                    throw new AssertionError("the node has ended", e);
-                }
-                Thread.onSpinWait();
-            }
+  }
+
+  static final int PATIENCE_MS = 20_000;
+
+  final Socket socket;
+  private final InputStream in;
+
+  Peer(Socket socket) throws IOException {
+    this.socket = socket;
+    socket.setSoTimeout(PATIENCE_MS);
+    socket.setTcpNoDelay(true);
+    in = socket.getInputStream();
+  }
+
+  static Peer to(InetSocketAddress address) throws IOException {
+    return new Peer(new Socket(InetAddress.getLoopbackAddress(), address.getPort()));
+  }
+
+  /** Connects as soon as the process serves. */
+  static Peer toServing(InetSocketAddress address, Process process) throws IOException {
+    while (true) {
+      try {
+        Peer peer = to(address);
+        peer.write("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+        if (peer.read().status() != 200) {
+          throw new AssertionError("not healthy");
         }
-    }
-
-    void write(String text) throws IOException {
-        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-    }
-
-    /** The next message, or null at the end of the stream. */
-    Message read() throws IOException {
-        String first = line();
-        if (first == null) {
-            return null;
-        }
-        Map<String, String> headers = new TreeMap<>();
-        for (String line = line(); line != null && !line.isEmpty(); line = line()) {
-            int colon = line.indexOf(':');
-            headers.put(line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).strip());
+        return peer;
+      } catch (IOException e) {
+        if (!process.isAlive()) {
+          throw new AssertionError("the node has ended", e);
         }
-        byte[] body = in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
-        return new Message(first, headers, new String(body, StandardCharsets.ISO_8859_1));
+        Thread.onSpinWait();
+      }
     }
+  }
 
-    /** How many bytes have come that were not read yet. */
-    int unread() throws IOException {
-        return in.available();
-    }
+  void write(String text) throws IOException {
+    socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+  }
 
-    /** Whether the other side has ended the connection; waits for that. */
-    boolean ended() {
-        try {
-            return in.read() < 0;
-        } catch (java.net.SocketTimeoutException e) {
-            return false;
-        } catch (IOException e) {
-            return true;
-        }
+  /** The next message, or null at the end of the stream. */
+  Message read() throws IOException {
+    String first = line();
+    if (first == null) {
+      return null;
     }
-
-    private String line() throws IOException {
-        StringBuilder line = new StringBuilder();
-        for (int c = in.read(); c >= 0; c = in.read()) {
-            if (c == '\n') {
-                return line.toString();
-            }
-            if (c != '\r') {
-                line.append((char) c);
-            }
-        }
-        return line.length() == 0 ? null : line.toString();
+    Map<String, String> headers = new TreeMap<>();
+    for (String line = line(); line != null && !line.isEmpty(); line = line()) {
+      int colon = line.indexOf(':');
+      headers.put(
+          line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).strip());
     }
-
-    /** Breaks the connection off with a reset. */
-    void reset() throws IOException {
-        socket.setSoLinger(true, 0);
-        socket.close();
+    byte[] body = in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
+    return new Message(first, headers, new String(body, StandardCharsets.ISO_8859_1));
+  }
+
+  /** How many bytes have come that were not read yet. */
+  int unread() throws IOException {
+    return in.available();
+  }
+
+  /** Whether the other side has ended the connection; waits for that. */
+  boolean ended() {
+    try {
+      return in.read() < 0;
+    } catch (java.net.SocketTimeoutException e) {
+      return false;
+    } catch (IOException e) {
+      return true;
     }
-
-    @Override
-    public void close() throws IOException {
-        socket.close();
+  }
+
+  private String line() throws IOException {
+    StringBuilder line = new StringBuilder();
+    for (int c = in.read(); c >= 0; c = in.read()) {
+      if (c == '\n') {
+        return line.toString();
+      }
+      if (c != '\r') {
+        line.append((char) c);
+      }
     }
+    return line.length() == 0 ? null : line.toString();
+  }
+
+  /** Breaks the connection off with a reset. */
+  void reset() throws IOException {
+    socket.setSoLinger(true, 0);
+    socket.close();
+  }
+
+  @Override
+  public void close() throws IOException {
+    socket.close();
+  }
 }
--- a/src/test/java/cranedeal/node/Stage.java
+++ b/src/test/java/cranedeal/node/Stage.java
@@ -9,91 +9,113 @@
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
 
-/** A node on loopback addresses between listeners that the test plays upstreams and discovery on. */
+/**
+ * A node on loopback addresses between listeners that the test plays upstreams and discovery on.
+ */
 final class Stage implements AutoCloseable {
 
-    final Script script = new Script();
-    final Listener discovery = new Listener();
-    final List<Listener> upstreams = new ArrayList<>();
-    private final List<Peer> callers = new ArrayList<>();
-    /** Settings that a test may change before it starts the node. */
-    int sockets = 1_024;
-    int connectTimeout = 3_000;
-    int drainGrace = 2_000;
-    /** How many of the upstreams, the first, are in the node's own zone; the others are of another type. */
-    int atHome = Integer.MAX_VALUE;
-    /** How many of them the node knows from its start. */
-    int listed = Integer.MAX_VALUE;
-    int askEvery = 1_000;
-    int maxAttempts = 4;
-    /** The tier that it sends to; clients arrive at the first, 0. */
-    int tier;
-    /** Whether news of the upstreams comes to the module only once it has asked. */
-    String registryMode = "subscribe";
-    /** How long the node waits for discovery's first answer before it lets callers in. */
-    long firstNews = Node.FIRST_NEWS_MS;
-    /** How long a connection to an upstream rests between two requests, in ms; none, so that one will do. */
-    double settle;
-    /** What a test changes of the configuration beyond that. */
-    UnaryOperator<String> edit = config -> config;
-    /** What its random numbers begin with. */
-    String seed = "8c1f30d27a5be964";
-    /** The aim of the class that must never run twice. */
-    String aim = "\"aim\":1500.0";
-    Node node;
-
-    Stage() throws IOException {
-        this(1);
-    }
+  final Script script = new Script();
+  final Listener discovery = new Listener();
+  final List<Listener> upstreams = new ArrayList<>();
+  private final List<Peer> callers = new ArrayList<>();
 
-    Stage(int count) throws IOException {
-        for (int i = 0; i < count; i++) {
-            upstreams.add(new Listener());
-        }
-    }
+  /** Settings that a test may change before it starts the node. */
+  int sockets = 1_024;
 
-    /** Starts the node with the scripted module. */
-    Stage start() throws Exception {
-        return start(script::with);
-    }
+  int connectTimeout = 3_000;
+  int drainGrace = 2_000;
 
-    Stage start(Function<LoadBalancer.Actions, LoadBalancer> module) throws Exception {
-        Path file = Files.createTempFile("node", ".json");
-        try {
-            Files.writeString(file, edit.apply(config()));
-            node = Node.prepare(NodeConfig.read(file.toString()), module, firstNews);
-            node.onLoop((frontend, upstreams) -> {
-                upstreams.settleFor(settle);
-                return null;
-            });
-            node.serve();
-        } finally {
-            Files.delete(file);
-        }
-        return this;
-    }
+  /**
+   * How many of the upstreams, the first, are in the node's own zone; the others are of another
+   * type.
+   */
+  int atHome = Integer.MAX_VALUE;
 
-    static String entry(int number, String address, String state) {
-        return """
-                {"id":"s-%08x","addr":"%s","zone":"dakar-a","kind":"front-mid","cell":%d,"state":"%s",
-                 "weight":1.0,"started_ms":0}""".formatted(number, address, number, state);
-    }
+  /** How many of them the node knows from its start. */
+  int listed = Integer.MAX_VALUE;
+
+  int askEvery = 1_000;
+  int maxAttempts = 4;
+
+  /** The tier that it sends to; clients arrive at the first, 0. */
+  int tier;
+
+  /** Whether news of the upstreams comes to the module only once it has asked. */
+  String registryMode = "subscribe";
+
+  /** How long the node waits for discovery's first answer before it lets callers in. */
+  long firstNews = Node.FIRST_NEWS_MS;
+
+  /**
+   * How long a connection to an upstream rests between two requests, in ms; none, so that one will
+   * do.
+   */
+  double settle;
+
+  /** What a test changes of the configuration beyond that. */
+  UnaryOperator<String> edit = config -> config;
+
+  /** What its random numbers begin with. */
+  String seed = "8c1f30d27a5be964";
+
+  /** The aim of the class that must never run twice. */
+  String aim = "\"aim\":1500.0";
 
-    static String roster(long version, boolean full, String... entries) {
-        return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}".formatted(version, full,
-                String.join(",", entries));
+  Node node;
+
+  Stage() throws IOException {
+    this(1);
+  }
+
+  Stage(int count) throws IOException {
+    for (int i = 0; i < count; i++) {
+      upstreams.add(new Listener());
     }
+  }
+
+  /** Starts the node with the scripted module. */
+  Stage start() throws Exception {
+    return start(script::with);
+  }
+
+  Stage start(Function<LoadBalancer.Actions, LoadBalancer> module) throws Exception {
+    Path file = Files.createTempFile("node", ".json");
+    try {
+      Files.writeString(file, edit.apply(config()));
+      node = Node.prepare(NodeConfig.read(file.toString()), module, firstNews);
+      node.onLoop(
+          (frontend, upstreams) -> {
+            upstreams.settleFor(settle);
+            return null;
+          });
+      node.serve();
+    } finally {
+      Files.delete(file);
+    }
+    return this;
+  }
 
-    String config() {
-        String[] entries = new String[Math.min(listed, upstreams.size())];
-        for (int i = 0; i < entries.length; i++) {
-            entries[i] = entry(i, upstreams.get(i).address(), "up");
-            if (i >= atHome) {
-                entries[i] = entries[i].replace("dakar-a", "thies-b")
-                        .replace("front-mid", "front-slow");
-            }
-        }
-        return """
+  static String entry(int number, String address, String state) {
+    return """
+                {"id":"s-%08x","addr":"%s","zone":"dakar-a","kind":"front-mid","cell":%d,"state":"%s",
+                 "weight":1.0,"started_ms":0}"""
+        .formatted(number, address, number, state);
+  }
+
+  static String roster(long version, boolean full, String... entries) {
+    return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}"
+        .formatted(version, full, String.join(",", entries));
+  }
+
+  String config() {
+    String[] entries = new String[Math.min(listed, upstreams.size())];
+    for (int i = 0; i < entries.length; i++) {
+      entries[i] = entry(i, upstreams.get(i).address(), "up");
+      if (i >= atHome) {
+        entries[i] = entries[i].replace("dakar-a", "thies-b").replace("front-mid", "front-slow");
+      }
+    }
+    return """
                 {"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"%s",
                  "limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"known":%s,
                  "settings":{"position":0,"siblings":1,"tier":%d,"stages":["front"],"zone":0,
@@ -117,60 +139,75 @@
                  "goal":{"whole":0.55,"worstWindow":0.15,"worstClass":0.3,"worstTenant":0.0},
                  "prices":{"crossZone":0.22,"probe":0.01,"waste":0.2,"lateFail":0.03,"connection":0.0,
                   "handshake":0.0,"peer":0.0,"registryMode":0.0}}}
-                """.formatted(discovery.address(), seed, sockets,
-                        roster(41, true, entries), tier, registryMode, maxAttempts, connectTimeout,
-                        drainGrace, askEvery)
-                .replace("\"aim\":1500.0", aim);
+                """
+        .formatted(
+            discovery.address(),
+            seed,
+            sockets,
+            roster(41, true, entries),
+            tier,
+            registryMode,
+            maxAttempts,
+            connectTimeout,
+            drainGrace,
+            askEvery)
+        .replace("\"aim\":1500.0", aim);
+  }
+
+  /** A new connection of a caller. */
+  Peer caller() throws IOException {
+    Peer caller = Peer.to(node.address());
+    callers.add(caller);
+    return caller;
+  }
+
+  /** A request of the class that is safe to repeat. */
+  static String get(String id, String remaining) {
+    return "GET /look-up/7?z=3 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: "
+        + id
+        + "\r\nX-Lane: look-up\r\nX-Remaining: "
+        + remaining
+        + "\r\n\r\n";
+  }
+
+  /** A request of the class that must never run twice. */
+  static String spend(String id, String body) {
+    return "POST /credit-spend HTTP/1.1\r\nHost: app.svc\r\nX-Txn: "
+        + id
+        + "\r\nX-Lane: credit-spend\r\nX-Remaining: 10\r\nContent-Length: "
+        + body.length()
+        + "\r\n\r\n"
+        + body;
+  }
+
+  static String ok(String body) {
+    return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+  }
+
+  /** Serves a request and asserts that the caller has its answer: the node is well. */
+  void servesStill() throws Exception {
+    Peer caller = caller();
+    caller.write(get("still", "10"));
+    Peer upstream = upstreams.get(0).accept();
+    upstream.read();
+    upstream.write(ok("well"));
+    Peer.Message answer = caller.read();
+    if (answer == null || answer.status() != 200 || !answer.body().equals("well")) {
+      throw new AssertionError("not served: " + answer);
     }
+  }
 
-    /** A new connection of a caller. */
-    Peer caller() throws IOException {
-        Peer caller = Peer.to(node.address());
-        callers.add(caller);
-        return caller;
+  @Override
+  public void close() throws IOException {
+    for (Peer caller : callers) {
+      caller.close();
     }
-
-    /** A request of the class that is safe to repeat. */
-    static String get(String id, String remaining) {
-        return "GET /look-up/7?z=3 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: " + id
-                + "\r\nX-Lane: look-up\r\nX-Remaining: " + remaining + "\r\n\r\n";
+    if (node != null) {
+      node.kill();
     }
-
-    /** A request of the class that must never run twice. */
-    static String spend(String id, String body) {
-        return "POST /credit-spend HTTP/1.1\r\nHost: app.svc\r\nX-Txn: " + id
-                + "\r\nX-Lane: credit-spend\r\nX-Remaining: 10\r\nContent-Length: " + body.length()
-                + "\r\n\r\n" + body;
-    }
-
-    static String ok(String body) {
-        return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
-    }
-
-    /** Serves a request and asserts that the caller has its answer: the node is well. */
-    void servesStill() throws Exception {
-        Peer caller = caller();
-        caller.write(get("still", "10"));
-        Peer upstream = upstreams.get(0).accept();
-        upstream.read();
-        upstream.write(ok("well"));
-        Peer.Message answer = caller.read();
-        if (answer == null || answer.status() != 200 || !answer.body().equals("well")) {
-            throw new AssertionError("not served: " + answer);
-        }
-    }
-
-    @Override
-    public void close() throws IOException {
-        for (Peer caller : callers) {
-            caller.close();
-        }
-        if (node != null) {
-            node.kill();
-        }
-        for (Listener upstream : upstreams) {
-            upstream.close();
-        }
-        discovery.close();
+    for (Listener upstream : upstreams) {
+      upstream.close();
     }
+    discovery.close();
+  }
 }
