--- a/src/test/java/cranedeal/node/UpstreamClientTest.java
+++ b/src/test/java/cranedeal/node/UpstreamClientTest.java
@@ -1,8 +1,8 @@
 package cranedeal.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cranedeal.LoadBalancer.Change;
@@ -21,155 +21,174 @@
 @Timeout(60)
 class UpstreamClientTest {
 
-    @Test
-    void aRequestGoesOnUnchangedAndItsAnswerComesBack() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write("POST /tile-order/a?x=1 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: 9b1f03aa5c7e2d41\r\n"
-                    + "X-Lane: tile-order\r\nX-Remaining: 5\r\nIdempotency-Key: 5c0f\r\n"
-                    + "Connection: keep-alive\r\nContent-Length: 4\r\n\r\nbody");
-            Peer upstream = stage.upstreams.get(0).accept();
-            Peer.Message request = upstream.read();
-            assertEquals("POST /tile-order/a?x=1 HTTP/1.1", request.first());
-            assertEquals("9b1f03aa5c7e2d41", request.header("X-Txn"));
-            assertEquals("5c0f", request.header("Idempotency-Key"));
-            assertEquals("body", request.body());
-            double remaining = Double.parseDouble(request.header("X-Remaining"));
-            assertTrue(remaining > 0 && remaining <= 5, "remaining " + remaining);
-            upstream.write(Stage.ok("served"));
-            Peer.Message answer = caller.read();
-            assertEquals(200, answer.status());
-            assertEquals("served", answer.body());
-            assertEquals(Result.OK, stage.script.result());
-        }
-    }
-
-    @Test
-    void anUpstreamIsToldNoMoreThanTheAttemptsOwnTimeout() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.script.onRequest = request -> stage.script.sendTo(0, request, 3_000);
-            stage.caller().write(Stage.get("1", "9"));
-            String remaining = stage.upstreams.get(0).accept().read().header("X-Remaining");
-            assertTrue(Double.parseDouble(remaining) <= 3, remaining);
-        }
-    }
-
-    @ParameterizedTest
-    @CsvSource({"500,,ERROR", "503,1,FULL", "504,1,FULL", "503,,ERROR", "404,,ERROR", "500,1,ERROR"})
-    void anAnswersStatusTellsItsOutcome(int status, String turnedAway, Result expected) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            upstream.write("HTTP/1.1 " + status + " No\r\nContent-Length: 0\r\n"
-                    + (turnedAway == null ? "" : "X-Turned-Away: " + turnedAway + "\r\n") + "\r\n");
-            assertEquals(expected, stage.script.result());
-            assertEquals(502, caller.read().status());
-        }
-    }
-
-    @Test
-    void aRefusedConnectionNeverRan() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.upstreams.get(0).close();
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            assertEquals(Result.CONNECT_FAILED, stage.script.result());
-            assertEquals(502, caller.read().status());
-        }
-    }
-
-    @ParameterizedTest
-    @ValueSource(strings = {
+  @Test
+  void aRequestGoesOnUnchangedAndItsAnswerComesBack() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write(
+          "POST /tile-order/a?x=1 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: 9b1f03aa5c7e2d41\r\n"
+              + "X-Lane: tile-order\r\nX-Remaining: 5\r\nIdempotency-Key: 5c0f\r\n"
+              + "Connection: keep-alive\r\nContent-Length: 4\r\n\r\nbody");
+      Peer upstream = stage.upstreams.get(0).accept();
+      Peer.Message request = upstream.read();
+      assertEquals("POST /tile-order/a?x=1 HTTP/1.1", request.first());
+      assertEquals("9b1f03aa5c7e2d41", request.header("X-Txn"));
+      assertEquals("5c0f", request.header("Idempotency-Key"));
+      assertEquals("body", request.body());
+      double remaining = Double.parseDouble(request.header("X-Remaining"));
+      assertTrue(remaining > 0 && remaining <= 5, "remaining " + remaining);
+      upstream.write(Stage.ok("served"));
+      Peer.Message answer = caller.read();
+      assertEquals(200, answer.status());
+      assertEquals("served", answer.body());
+      assertEquals(Result.OK, stage.script.result());
+    }
+  }
+
+  @Test
+  void anUpstreamIsToldNoMoreThanTheAttemptsOwnTimeout() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      stage.script.onRequest = request -> stage.script.sendTo(0, request, 3_000);
+      stage.caller().write(Stage.get("1", "9"));
+      String remaining = stage.upstreams.get(0).accept().read().header("X-Remaining");
+      assertTrue(Double.parseDouble(remaining) <= 3, remaining);
+    }
+  }
+
+  @ParameterizedTest
+  @CsvSource({"500,,ERROR", "503,1,FULL", "504,1,FULL", "503,,ERROR", "404,,ERROR", "500,1,ERROR"})
+  void anAnswersStatusTellsItsOutcome(int status, String turnedAway, Result expected)
+      throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("1", "x"));
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      upstream.write(
+          "HTTP/1.1 "
+              + status
+              + " No\r\nContent-Length: 0\r\n"
+              + (turnedAway == null ? "" : "X-Turned-Away: " + turnedAway + "\r\n")
+              + "\r\n");
+      assertEquals(expected, stage.script.result());
+      assertEquals(502, caller.read().status());
+    }
+  }
+
+  @Test
+  void aRefusedConnectionNeverRan() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      stage.upstreams.get(0).close();
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("1", "x"));
+      assertEquals(Result.CONNECT_FAILED, stage.script.result());
+      assertEquals(502, caller.read().status());
+    }
+  }
+
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
         "",
         "HTTP/1.1 200 OK\r\nContent-Le",
         "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
         // Delimited by the end of the connection only: a crash would look the same.
-        "HTTP/1.1 200 OK\r\n\r\nhalf"})
-    void aConnectionThatEndsBeforeTheWholeAnswerIsAReset(String part) throws Exception {
-        for (boolean abruptly : new boolean[] {false, true}) {
-            try (Stage stage = new Stage().start()) {
-                Peer caller = stage.caller();
-                caller.write(Stage.spend("1", "x"));
-                Peer upstream = stage.upstreams.get(0).accept();
-                upstream.read();
-                upstream.write(part);
-                if (abruptly) {
-                    upstream.reset();
-                } else {
-                    upstream.close();
-                }
-                assertEquals(Result.RESET, stage.script.result());
-                Peer.Message answer = caller.read();
-                assertEquals(502, answer.status());
-                assertEquals("", answer.body());
-            }
-        }
-    }
-
-    @Test
-    void aRequestNotWrittenWholeNeverRan() throws Exception {
-        try (Stage stage = new Stage()) {
-            // Large bodies that nobody reads fill the buffers between; the last one can't be written.
-            stage.upstreams.set(0, new Listener(1_024));
-            stage.start();
-            stage.node.onLoop((frontend, upstreams) -> {
-                upstreams.sendBuffer(4_096);
-                return null;
-            });
-            String body = "b".repeat(UpstreamClient.MAX_BODY);
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", body));
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.reset();
-            assertEquals(Result.CONNECT_FAILED, stage.script.result());
-            assertEquals(502, caller.read().status());
-        }
-    }
-
-    @ParameterizedTest
-    @CsvSource({"200 OK,,CONNECT_FAILED", "503 No,1,FULL", "500 No,,ERROR"})
-    void anAnswerBeforeTheRequestIsOutIsNoneToIt(String status, String turnedAway, Result expected)
-            throws Exception {
-        try (Stage stage = new Stage()) {
-            stage.upstreams.set(0, new Listener(1_024));
-            stage.start();
-            stage.node.onLoop((frontend, upstreams) -> {
-                upstreams.sendBuffer(4_096);
-                return null;
-            });
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "b".repeat(UpstreamClient.MAX_BODY)));
-            // It reads nothing, so that the request can't be out.
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.write("HTTP/1.1 " + status + "\r\nContent-Length: 5\r\n"
-                    + (turnedAway == null ? "" : "X-Turned-Away: " + turnedAway + "\r\n") + "\r\nother");
-            assertEquals(expected, stage.script.result());
-            assertEquals(502, caller.read().status());
-        }
-    }
-
-    @ParameterizedTest
-    @ValueSource(strings = {"nonsense\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"})
-    void aMalformedAnswerIsAnError(String answer) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            upstream.write(answer);
-            assertEquals(Result.ERROR, stage.script.result());
-            assertEquals(502, caller.read().status());
-            assertTrue(upstream.ended());
-            stage.servesStill();
-        }
-    }
-
-    @ParameterizedTest
-    @ValueSource(strings = {
+        "HTTP/1.1 200 OK\r\n\r\nhalf"
+      })
+  void aConnectionThatEndsBeforeTheWholeAnswerIsAReset(String part) throws Exception {
+    for (boolean abruptly : new boolean[] {false, true}) {
+      try (Stage stage = new Stage().start()) {
+        Peer caller = stage.caller();
+        caller.write(Stage.spend("1", "x"));
+        Peer upstream = stage.upstreams.get(0).accept();
+        upstream.read();
+        upstream.write(part);
+        if (abruptly) {
+          upstream.reset();
+        } else {
+          upstream.close();
+        }
+        assertEquals(Result.RESET, stage.script.result());
+        Peer.Message answer = caller.read();
+        assertEquals(502, answer.status());
+        assertEquals("", answer.body());
+      }
+    }
+  }
+
+  @Test
+  void aRequestNotWrittenWholeNeverRan() throws Exception {
+    try (Stage stage = new Stage()) {
+      // Large bodies that nobody reads fill the buffers between; the last one can't be written.
+      stage.upstreams.set(0, new Listener(1_024));
+      stage.start();
+      stage.node.onLoop(
+          (frontend, upstreams) -> {
+            upstreams.sendBuffer(4_096);
+            return null;
+          });
+      String body = "b".repeat(UpstreamClient.MAX_BODY);
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("1", body));
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.reset();
+      assertEquals(Result.CONNECT_FAILED, stage.script.result());
+      assertEquals(502, caller.read().status());
+    }
+  }
+
+  @ParameterizedTest
+  @CsvSource({"200 OK,,CONNECT_FAILED", "503 No,1,FULL", "500 No,,ERROR"})
+  void anAnswerBeforeTheRequestIsOutIsNoneToIt(String status, String turnedAway, Result expected)
+      throws Exception {
+    try (Stage stage = new Stage()) {
+      stage.upstreams.set(0, new Listener(1_024));
+      stage.start();
+      stage.node.onLoop(
+          (frontend, upstreams) -> {
+            upstreams.sendBuffer(4_096);
+            return null;
+          });
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("1", "b".repeat(UpstreamClient.MAX_BODY)));
+      // It reads nothing, so that the request can't be out.
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.write(
+          "HTTP/1.1 "
+              + status
+              + "\r\nContent-Length: 5\r\n"
+              + (turnedAway == null ? "" : "X-Turned-Away: " + turnedAway + "\r\n")
+              + "\r\nother");
+      assertEquals(expected, stage.script.result());
+      assertEquals(502, caller.read().status());
+    }
+  }
+
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "nonsense\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
+      })
+  void aMalformedAnswerIsAnError(String answer) throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("1", "x"));
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      upstream.write(answer);
+      assertEquals(Result.ERROR, stage.script.result());
+      assertEquals(502, caller.read().status());
+      assertTrue(upstream.ended());
+      stage.servesStill();
+    }
+  }
+
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
         "noise that has no end of a line",
         "HTTX",
         "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n",
@@ -182,702 +201,743 @@
         // These would go on for ever, or never do.
         "HTTP/1.1 200 OK\r\nContent-Le",
         "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
-        "HTTP/1.1 200 OK\r\n\r\nhalf"})
-    void aSpoiltAnswerIsAFailureThatMayHaveRunAndEndsItsConnection(String answer) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            // The upstream leaves the connection open; without care the request would wait for its end.
-            upstream.write(answer);
-            assertEquals(Result.ERROR, stage.script.result());
-            assertEquals(502, caller.read().status());
-            assertTrue(upstream.ended());
-            stage.servesStill();
-        }
-    }
-
-    @Test
-    void endlessHeadsAndInterimAnswersAreCutOff() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            for (String endless : new String[] {"HTTP/1.1 100 Continue\r\n\r\n", "X-More: of the same\r\n"}) {
-                caller.write(Stage.get("1", "20"));
-                Peer upstream = stage.upstreams.get(0).accept();
-                upstream.read();
-                try {
-                    upstream.write("HTTP/1.1 100 Continue\r\n" + (endless.startsWith("X") ? "" : "\r\n")
-                            + endless.repeat(1_000));
-                } catch (IOException e) {
-                    // Cut off in the middle is soon enough.
-                }
-                assertEquals(Result.ERROR, stage.script.result());
-                assertEquals(502, caller.read().status());
-            }
-        }
-    }
-
-    @Test
-    void interimAnswersAheadOfOneAreSkipped() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            upstream.write("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\n"
-                    + "Link: x\r\n\r\nHTTP/1");
-            takenIn(stage);
-            upstream.write(Stage.ok("served").substring(6));
-            assertEquals("served", caller.read().body());
-        }
-    }
-
-    @ParameterizedTest
-    @ValueSource(strings = {"H", "noise", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy",
-        "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nco"})
-    void whatFollowsAnAnswerIsNotTakenForTheNext(String more) throws Exception {
-        for (boolean later : new boolean[] {false, true}) {
-            try (Stage stage = new Stage().start()) {
-                Peer caller = stage.caller();
-                caller.write(Stage.get("1", "10"));
-                Peer upstream = stage.upstreams.get(0).accept();
-                upstream.read();
-                upstream.write(Stage.ok("mine") + (later ? "" : more));
-                assertEquals("mine", caller.read().body());
-                if (later) {
-                    upstream.write(more);
-                }
-                caller.write(Stage.get("2", "10"));
-                Peer fresh = stage.upstreams.get(0).accept();
-                assertEquals("2", fresh.read().header("X-Txn"));
-                assertTrue(upstream.ended());
-                fresh.write(Stage.ok("yours"));
-                assertEquals("yours", caller.read().body());
-            }
-        }
-    }
-
-    /** Returns once the node has read what came before. */
-    private static void takenIn(Stage stage) throws Exception {
-        Peer other = stage.caller();
-        other.write("GET /_health HTTP/1.1\r\n\r\n");
-        other.read();
-    }
-
-    @Test
-    void onlyWhatTheProtocolNamesGoesOn() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.caller().write(Stage.get("1", "10").replace("Host:", "Authorization: secret\r\n"
-                    + "X-Turned-Away: 1\r\nX-Labels: a=1\r\nHost:"));
-            Peer.Message passed = stage.upstreams.get(0).accept().read();
-            assertEquals("a=1", passed.header("X-Labels"));
-            assertEquals(java.util.Set.of("host", "x-txn", "x-lane", "x-labels", "x-remaining"),
-                    passed.headers().keySet());
-        }
-    }
-
-    @Test
-    void aShortageOfDescriptorsHereIsNotHeldAgainstAnUpstream() throws Exception {
-        try (Stage stage = new Stage()) {
-            stage.sockets = 64 + 5;
-            stage.start();
-            stage.script.onRequest = request -> { };
-            for (int i = 0; i < 4; i++) {
-                stage.caller().write(Stage.get("r" + i, "20"));
-            }
-            takenIn(stage);
-            stage.script.onRequest = request -> stage.script.sendTo(0, request, 0);
-            Peer caller = stage.caller();
-            caller.write(Stage.get("more", "20"));
-            assertEquals(Result.NOT_SENT, stage.script.result());
-            assertEquals(502, caller.read().status());
-        }
-    }
-
-    @Test
-    void anUpstreamThatDrainedAndLeftIsForgotten() throws Exception {
-        try (Stage stage = new Stage()) {
-            stage.script.onStart = () -> stage.script.actions.watch(true);
-            stage.start();
-            Peer watch = tell(stage, Stage.entry(9, "127.0.0.1:9", "up"));
-            String[] states = {"draining", "removed"};
-            for (int i = 0; i < states.length; i++) {
-                watch.read();
-                watch.write(Stage.ok(Stage.roster(43 + i, false, Stage.entry(9, "127.0.0.1:9", states[i]))));
-                assertEquals(Change.DELTA, Script.next(stage.script.changes));
-            }
-            int remembered = stage.node.onLoop((frontend, upstreams) -> {
+        "HTTP/1.1 200 OK\r\n\r\nhalf"
+      })
+  void aSpoiltAnswerIsAFailureThatMayHaveRunAndEndsItsConnection(String answer) throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("1", "x"));
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      // The upstream leaves the connection open; without care the request would wait for its end.
+      upstream.write(answer);
+      assertEquals(Result.ERROR, stage.script.result());
+      assertEquals(502, caller.read().status());
+      assertTrue(upstream.ended());
+      stage.servesStill();
+    }
+  }
+
+  @Test
+  void endlessHeadsAndInterimAnswersAreCutOff() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      for (String endless :
+          new String[] {"HTTP/1.1 100 Continue\r\n\r\n", "X-More: of the same\r\n"}) {
+        caller.write(Stage.get("1", "20"));
+        Peer upstream = stage.upstreams.get(0).accept();
+        upstream.read();
+        try {
+          upstream.write(
+              "HTTP/1.1 100 Continue\r\n"
+                  + (endless.startsWith("X") ? "" : "\r\n")
+                  + endless.repeat(1_000));
+        } catch (IOException e) {
+          // Cut off in the middle is soon enough.
+        }
+        assertEquals(Result.ERROR, stage.script.result());
+        assertEquals(502, caller.read().status());
+      }
+    }
+  }
+
+  @Test
+  void interimAnswersAheadOfOneAreSkipped() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write(Stage.get("1", "10"));
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      upstream.write(
+          "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\n" + "Link: x\r\n\r\nHTTP/1");
+      takenIn(stage);
+      upstream.write(Stage.ok("served").substring(6));
+      assertEquals("served", caller.read().body());
+    }
+  }
+
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "H",
+        "noise",
+        "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy",
+        "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nco"
+      })
+  void whatFollowsAnAnswerIsNotTakenForTheNext(String more) throws Exception {
+    for (boolean later : new boolean[] {false, true}) {
+      try (Stage stage = new Stage().start()) {
+        Peer caller = stage.caller();
+        caller.write(Stage.get("1", "10"));
+        Peer upstream = stage.upstreams.get(0).accept();
+        upstream.read();
+        upstream.write(Stage.ok("mine") + (later ? "" : more));
+        assertEquals("mine", caller.read().body());
+        if (later) {
+          upstream.write(more);
+        }
+        caller.write(Stage.get("2", "10"));
+        Peer fresh = stage.upstreams.get(0).accept();
+        assertEquals("2", fresh.read().header("X-Txn"));
+        assertTrue(upstream.ended());
+        fresh.write(Stage.ok("yours"));
+        assertEquals("yours", caller.read().body());
+      }
+    }
+  }
+
+  /** Returns once the node has read what came before. */
+  private static void takenIn(Stage stage) throws Exception {
+    Peer other = stage.caller();
+    other.write("GET /_health HTTP/1.1\r\n\r\n");
+    other.read();
+  }
+
+  @Test
+  void onlyWhatTheProtocolNamesGoesOn() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      stage
+          .caller()
+          .write(
+              Stage.get("1", "10")
+                  .replace(
+                      "Host:",
+                      "Authorization: secret\r\n" + "X-Turned-Away: 1\r\nX-Labels: a=1\r\nHost:"));
+      Peer.Message passed = stage.upstreams.get(0).accept().read();
+      assertEquals("a=1", passed.header("X-Labels"));
+      assertEquals(
+          java.util.Set.of("host", "x-txn", "x-lane", "x-labels", "x-remaining"),
+          passed.headers().keySet());
+    }
+  }
+
+  @Test
+  void aShortageOfDescriptorsHereIsNotHeldAgainstAnUpstream() throws Exception {
+    try (Stage stage = new Stage()) {
+      stage.sockets = 64 + 5;
+      stage.start();
+      stage.script.onRequest = request -> {};
+      for (int i = 0; i < 4; i++) {
+        stage.caller().write(Stage.get("r" + i, "20"));
+      }
+      takenIn(stage);
+      stage.script.onRequest = request -> stage.script.sendTo(0, request, 0);
+      Peer caller = stage.caller();
+      caller.write(Stage.get("more", "20"));
+      assertEquals(Result.NOT_SENT, stage.script.result());
+      assertEquals(502, caller.read().status());
+    }
+  }
+
+  @Test
+  void anUpstreamThatDrainedAndLeftIsForgotten() throws Exception {
+    try (Stage stage = new Stage()) {
+      stage.script.onStart = () -> stage.script.actions.watch(true);
+      stage.start();
+      Peer watch = tell(stage, Stage.entry(9, "127.0.0.1:9", "up"));
+      String[] states = {"draining", "removed"};
+      for (int i = 0; i < states.length; i++) {
+        watch.read();
+        watch.write(
+            Stage.ok(Stage.roster(43 + i, false, Stage.entry(9, "127.0.0.1:9", states[i]))));
+        assertEquals(Change.DELTA, Script.next(stage.script.changes));
+      }
+      int remembered =
+          stage.node.onLoop(
+              (frontend, upstreams) -> {
                 upstreams.sweep(stage.node.now() + 60_000);
                 return upstreams.remembered();
-            });
-            assertEquals(0, remembered);
-        }
-    }
-
-    @Test
-    void aReportOutOfRangeIsNone() {
-        List<String> fields = List.of("queue");
-        for (String text : new String[] {"TEXT queue=-1", "queue=1e99", "queue=NaN", "queue=", "queue", ""}) {
-            assertEquals(null, LoadReport.parse(text, fields));
-        }
-        assertEquals(2, LoadReport.parse("TEXT queue=2", fields)[0]);
-    }
-
-    @Test
-    void callersThatRestGiveWayToACallOfAnother() throws Exception {
-        try (Stage stage = new Stage()) {
-            stage.sockets = 64 + 5;
-            stage.start();
-            List<Peer> resting = new ArrayList<>();
-            for (int i = 0; i < 4; i++) {
-                resting.add(stage.caller());
-                resting.get(i).write("GET /_health HTTP/1.1\r\n\r\n");
-                resting.get(i).read();
-            }
-            stage.servesStill();
-            assertTrue(resting.get(0).ended());
-        }
-    }
-
-    @Test
-    void anAnswerOverTheLimitIsAnErrorAndOneAtItIsNot() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            for (int extra = 0; extra < 2; extra++) {
-                caller.write(Stage.get("1", "10"));
-                Peer upstream = stage.upstreams.get(0).accept();
-                upstream.read();
-                String body = "b".repeat(UpstreamClient.MAX_BODY + extra);
-                try {
-                    upstream.write("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: " + body.length()
-                            + "\r\n\r\n" + body);
-                } catch (IOException e) {
-                    assertEquals(1, extra, "only the answer that is too large may be cut off");
-                }
-                assertEquals(extra == 0 ? Result.OK : Result.ERROR, stage.script.result());
-                assertEquals(extra == 0 ? 200 : 502, caller.read().status());
-            }
-            stage.servesStill();
-        }
-    }
-
-    @Test
-    void aSilentUpstreamTimesOutAndItsConnectionIsClosed() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.script.onRequest = request -> stage.script.sendTo(0, request, 100);
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            Peer upstream = stage.upstreams.get(0).accept();
-            assertNotNull(upstream.read());
-            assertTrue(upstream.ended());
-            assertEquals(Result.TIMEOUT, stage.script.result());
-            assertEquals(502, caller.read().status());
-        }
-    }
-
-    @Test
-    void aCancelledAttemptClosesItsConnection() throws Exception {
-        try (Stage stage = new Stage(2).start()) {
-            // A second copy: the first answer wins, the other is called off.
-            stage.script.onRequest = request -> {
-                stage.script.sendTo(0, request, 0);
-                stage.script.sendTo(1, request, 0);
-            };
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            Peer slow = stage.upstreams.get(0).accept();
-            slow.read();
-            Peer fast = stage.upstreams.get(1).accept();
-            fast.read();
-            stage.script.onOutcome = outcome -> stage.script.actions.cancel(outcome.requestId(), 0);
-            fast.write(Stage.ok("fast"));
-            assertEquals("fast", caller.read().body());
-            assertEquals(Result.OK, stage.script.result());
-            assertTrue(slow.ended());
-            assertEquals(Result.CANCELLED, stage.script.result());
-        }
-    }
-
-    @Test
-    void anAnswerAndItsTimeoutAtOneInstantAreOneOutcome() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.script.onRequest = request -> stage.script.sendTo(0, request, 500);
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            double sent = stage.node.now();
-            stage.node.onLoop((frontend, upstreams) -> {
-                try {
-                    upstream.write(Stage.ok("served"));
-                } catch (IOException e) {
-                    throw new java.io.UncheckedIOException(e);
-                }
-                // Both are there when the node looks again.
-                while (stage.node.now() < sent + 500) {
-                    Thread.onSpinWait();
-                }
-                return null;
-            });
-            Result result = stage.script.result();
-            assertTrue(result == Result.OK || result == Result.TIMEOUT, "ended as " + result);
-            assertEquals(result == Result.OK ? 200 : 502, caller.read().status());
-            takenIn(stage);
-            assertTrue(stage.script.outcomes.isEmpty());
-        }
-    }
-
-    @Test
-    void aCancelThatCrossesAnAnswerEndsTheAttemptOnce() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            stage.node.onLoop((frontend, upstreams) -> {
-                try {
-                    upstream.write(Stage.ok("crosses"));
-                } catch (IOException e) {
-                    throw new java.io.UncheckedIOException(e);
-                }
-                stage.script.actions.cancel(1, 0);
-                return null;
-            });
-            assertEquals(Result.CANCELLED, stage.script.result());
-            assertEquals(502, caller.read().status());
-            assertTrue(upstream.ended());
-            stage.servesStill();
-            assertEquals(Result.OK, stage.script.result());
-            assertTrue(stage.script.outcomes.isEmpty());
-        }
-    }
-
-    @Test
-    void aConnectionIsUsedAgainWhileItIsAlive() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            Peer upstream = null;
-            for (int i = 0; i < 3; i++) {
-                caller.write(Stage.get("r" + i, "10"));
-                upstream = upstream == null ? stage.upstreams.get(0).accept() : upstream;
-                assertEquals("r" + i, upstream.read().header("X-Txn"));
-                upstream.write(Stage.ok("a" + i));
-                assertEquals("a" + i, caller.read().body());
+              });
+      assertEquals(0, remembered);
+    }
+  }
+
+  @Test
+  void aReportOutOfRangeIsNone() {
+    List<String> fields = List.of("queue");
+    for (String text :
+        new String[] {"TEXT queue=-1", "queue=1e99", "queue=NaN", "queue=", "queue", ""}) {
+      assertEquals(null, LoadReport.parse(text, fields));
+    }
+    assertEquals(2, LoadReport.parse("TEXT queue=2", fields)[0]);
+  }
+
+  @Test
+  void callersThatRestGiveWayToACallOfAnother() throws Exception {
+    try (Stage stage = new Stage()) {
+      stage.sockets = 64 + 5;
+      stage.start();
+      List<Peer> resting = new ArrayList<>();
+      for (int i = 0; i < 4; i++) {
+        resting.add(stage.caller());
+        resting.get(i).write("GET /_health HTTP/1.1\r\n\r\n");
+        resting.get(i).read();
+      }
+      stage.servesStill();
+      assertTrue(resting.get(0).ended());
+    }
+  }
+
+  @Test
+  void anAnswerOverTheLimitIsAnErrorAndOneAtItIsNot() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      for (int extra = 0; extra < 2; extra++) {
+        caller.write(Stage.get("1", "10"));
+        Peer upstream = stage.upstreams.get(0).accept();
+        upstream.read();
+        String body = "b".repeat(UpstreamClient.MAX_BODY + extra);
+        try {
+          upstream.write(
+              "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: "
+                  + body.length()
+                  + "\r\n\r\n"
+                  + body);
+        } catch (IOException e) {
+          assertEquals(1, extra, "only the answer that is too large may be cut off");
+        }
+        assertEquals(extra == 0 ? Result.OK : Result.ERROR, stage.script.result());
+        assertEquals(extra == 0 ? 200 : 502, caller.read().status());
+      }
+      stage.servesStill();
+    }
+  }
+
+  @Test
+  void aSilentUpstreamTimesOutAndItsConnectionIsClosed() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      stage.script.onRequest = request -> stage.script.sendTo(0, request, 100);
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("1", "x"));
+      Peer upstream = stage.upstreams.get(0).accept();
+      assertNotNull(upstream.read());
+      assertTrue(upstream.ended());
+      assertEquals(Result.TIMEOUT, stage.script.result());
+      assertEquals(502, caller.read().status());
+    }
+  }
+
+  @Test
+  void aCancelledAttemptClosesItsConnection() throws Exception {
+    try (Stage stage = new Stage(2).start()) {
+      // A second copy: the first answer wins, the other is called off.
+      stage.script.onRequest =
+          request -> {
+            stage.script.sendTo(0, request, 0);
+            stage.script.sendTo(1, request, 0);
+          };
+      Peer caller = stage.caller();
+      caller.write(Stage.get("1", "10"));
+      Peer slow = stage.upstreams.get(0).accept();
+      slow.read();
+      Peer fast = stage.upstreams.get(1).accept();
+      fast.read();
+      stage.script.onOutcome = outcome -> stage.script.actions.cancel(outcome.requestId(), 0);
+      fast.write(Stage.ok("fast"));
+      assertEquals("fast", caller.read().body());
+      assertEquals(Result.OK, stage.script.result());
+      assertTrue(slow.ended());
+      assertEquals(Result.CANCELLED, stage.script.result());
+    }
+  }
+
+  @Test
+  void anAnswerAndItsTimeoutAtOneInstantAreOneOutcome() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      stage.script.onRequest = request -> stage.script.sendTo(0, request, 500);
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("1", "x"));
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      double sent = stage.node.now();
+      stage.node.onLoop(
+          (frontend, upstreams) -> {
+            try {
+              upstream.write(Stage.ok("served"));
+            } catch (IOException e) {
+              throw new java.io.UncheckedIOException(e);
             }
-            assertEquals(0, stage.upstreams.get(0).waiting());
-        }
-    }
-
-    @Test
-    void aSecondAnswerThatComesLateNeverReachesTheNextRequest() throws Exception {
-        try (Stage stage = new Stage()) {
-            stage.settle = Peer.PATIENCE_MS;
-            stage.start();
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            Peer first = stage.upstreams.get(0).accept();
-            first.read();
-            first.write(Stage.ok("one"));
-            assertEquals("one", caller.read().body());
-            caller.write(Stage.get("2", "10"));
-            // What is to come on the first one is not known yet.
-            Peer second = stage.upstreams.get(0).accept();
-            assertEquals("2", second.read().header("X-Txn"));
-            first.write(Stage.ok("one"));
-            assertTrue(first.ended());
-            second.write(Stage.ok("two"));
-            assertEquals("two", caller.read().body());
-        }
-    }
-
-    @Test
-    void aConnectionThatHasSettledIsUsedAheadOfANewOne() throws Exception {
-        try (Stage stage = new Stage()) {
-            stage.settle = 1e9;
-            stage.start();
-            Peer caller = stage.caller();
-            Peer[] both = new Peer[2];
-            for (int i = 0; i < 2; i++) {
-                caller.write(Stage.get("r" + i, "10"));
-                both[i] = stage.upstreams.get(0).accept();
-                both[i].read();
-                both[i].write(Stage.ok("a" + i));
-                assertEquals("a" + i, caller.read().body());
+            // Both are there when the node looks again.
+            while (stage.node.now() < sent + 500) {
+              Thread.onSpinWait();
             }
-            stage.node.onLoop((frontend, upstreams) -> {
-                upstreams.settleFor(0);
-                return null;
-            });
-            caller.write(Stage.get("r2", "10"));
-            assertEquals("r2", both[1].read().header("X-Txn"));
-            assertEquals(0, stage.upstreams.get(0).waiting());
-        }
-    }
-
-    @Test
-    void whatMustNotBeSentAgainUsesAKeptConnectionWhileNoneBreaks() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            trustNoRest(stage);
-            Peer caller = stage.caller();
-            Peer upstream = null;
-            for (int i = 0; i < 3; i++) {
-                caller.write(Stage.spend("s" + i, "x"));
-                upstream = upstream == null ? stage.upstreams.get(0).accept() : upstream;
-                assertEquals("s" + i, upstream.read().header("X-Txn"));
-                upstream.write(Stage.ok("a" + i));
-                assertEquals("a" + i, caller.read().body());
+            return null;
+          });
+      Result result = stage.script.result();
+      assertTrue(result == Result.OK || result == Result.TIMEOUT, "ended as " + result);
+      assertEquals(result == Result.OK ? 200 : 502, caller.read().status());
+      takenIn(stage);
+      assertTrue(stage.script.outcomes.isEmpty());
+    }
+  }
+
+  @Test
+  void aCancelThatCrossesAnAnswerEndsTheAttemptOnce() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("1", "x"));
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      stage.node.onLoop(
+          (frontend, upstreams) -> {
+            try {
+              upstream.write(Stage.ok("crosses"));
+            } catch (IOException e) {
+              throw new java.io.UncheckedIOException(e);
             }
-            assertEquals(0, stage.upstreams.get(0).waiting());
-        }
-    }
-
-    @Test
-    void onceOneBrokeAtRestWhatMustNotBeSentAgainGetsANewConnection() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            trustNoRest(stage);
-            stage.node.onLoop((frontend, upstreams) -> {
-                upstreams.brokeAtRest(400);
-                return null;
-            });
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("s1", "x"));
-            Peer first = stage.upstreams.get(0).accept();
-            first.read();
-            first.write(Stage.ok("a"));
-            assertEquals("a", caller.read().body());
-            caller.write(Stage.spend("s2", "x"));
-            Peer second = stage.upstreams.get(0).accept();
-            assertEquals("s2", second.read().header("X-Txn"));
-            // The new one takes the place of the old one, so that idle connections don't pile up.
-            assertTrue(first.ended());
-            second.write(Stage.ok("b"));
-            assertEquals("b", caller.read().body());
-            caller.write(Stage.get("g1", "10"));
-            assertEquals("g1", second.read().header("X-Txn"));
-            second.write(Stage.ok("c"));
-            assertEquals("c", caller.read().body());
-        }
-    }
-
-    /** Any rest is too long for a connection to be young. */
-    private static void trustNoRest(Stage stage) throws InterruptedException {
-        stage.node.onLoop((frontend, upstreams) -> {
-            upstreams.trustYoung(0);
+            stage.script.actions.cancel(1, 0);
             return null;
+          });
+      assertEquals(Result.CANCELLED, stage.script.result());
+      assertEquals(502, caller.read().status());
+      assertTrue(upstream.ended());
+      stage.servesStill();
+      assertEquals(Result.OK, stage.script.result());
+      assertTrue(stage.script.outcomes.isEmpty());
+    }
+  }
+
+  @Test
+  void aConnectionIsUsedAgainWhileItIsAlive() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      Peer upstream = null;
+      for (int i = 0; i < 3; i++) {
+        caller.write(Stage.get("r" + i, "10"));
+        upstream = upstream == null ? stage.upstreams.get(0).accept() : upstream;
+        assertEquals("r" + i, upstream.read().header("X-Txn"));
+        upstream.write(Stage.ok("a" + i));
+        assertEquals("a" + i, caller.read().body());
+      }
+      assertEquals(0, stage.upstreams.get(0).waiting());
+    }
+  }
+
+  @Test
+  void aSecondAnswerThatComesLateNeverReachesTheNextRequest() throws Exception {
+    try (Stage stage = new Stage()) {
+      stage.settle = Peer.PATIENCE_MS;
+      stage.start();
+      Peer caller = stage.caller();
+      caller.write(Stage.get("1", "10"));
+      Peer first = stage.upstreams.get(0).accept();
+      first.read();
+      first.write(Stage.ok("one"));
+      assertEquals("one", caller.read().body());
+      caller.write(Stage.get("2", "10"));
+      // What is to come on the first one is not known yet.
+      Peer second = stage.upstreams.get(0).accept();
+      assertEquals("2", second.read().header("X-Txn"));
+      first.write(Stage.ok("one"));
+      assertTrue(first.ended());
+      second.write(Stage.ok("two"));
+      assertEquals("two", caller.read().body());
+    }
+  }
+
+  @Test
+  void aConnectionThatHasSettledIsUsedAheadOfANewOne() throws Exception {
+    try (Stage stage = new Stage()) {
+      stage.settle = 1e9;
+      stage.start();
+      Peer caller = stage.caller();
+      Peer[] both = new Peer[2];
+      for (int i = 0; i < 2; i++) {
+        caller.write(Stage.get("r" + i, "10"));
+        both[i] = stage.upstreams.get(0).accept();
+        both[i].read();
+        both[i].write(Stage.ok("a" + i));
+        assertEquals("a" + i, caller.read().body());
+      }
+      stage.node.onLoop(
+          (frontend, upstreams) -> {
+            upstreams.settleFor(0);
+            return null;
+          });
+      caller.write(Stage.get("r2", "10"));
+      assertEquals("r2", both[1].read().header("X-Txn"));
+      assertEquals(0, stage.upstreams.get(0).waiting());
+    }
+  }
+
+  @Test
+  void whatMustNotBeSentAgainUsesAKeptConnectionWhileNoneBreaks() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      trustNoRest(stage);
+      Peer caller = stage.caller();
+      Peer upstream = null;
+      for (int i = 0; i < 3; i++) {
+        caller.write(Stage.spend("s" + i, "x"));
+        upstream = upstream == null ? stage.upstreams.get(0).accept() : upstream;
+        assertEquals("s" + i, upstream.read().header("X-Txn"));
+        upstream.write(Stage.ok("a" + i));
+        assertEquals("a" + i, caller.read().body());
+      }
+      assertEquals(0, stage.upstreams.get(0).waiting());
+    }
+  }
+
+  @Test
+  void onceOneBrokeAtRestWhatMustNotBeSentAgainGetsANewConnection() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      trustNoRest(stage);
+      stage.node.onLoop(
+          (frontend, upstreams) -> {
+            upstreams.brokeAtRest(400);
+            return null;
+          });
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("s1", "x"));
+      Peer first = stage.upstreams.get(0).accept();
+      first.read();
+      first.write(Stage.ok("a"));
+      assertEquals("a", caller.read().body());
+      caller.write(Stage.spend("s2", "x"));
+      Peer second = stage.upstreams.get(0).accept();
+      assertEquals("s2", second.read().header("X-Txn"));
+      // The new one takes the place of the old one, so that idle connections don't pile up.
+      assertTrue(first.ended());
+      second.write(Stage.ok("b"));
+      assertEquals("b", caller.read().body());
+      caller.write(Stage.get("g1", "10"));
+      assertEquals("g1", second.read().header("X-Txn"));
+      second.write(Stage.ok("c"));
+      assertEquals("c", caller.read().body());
+    }
+  }
+
+  /** Any rest is too long for a connection to be young. */
+  private static void trustNoRest(Stage stage) throws InterruptedException {
+    stage.node.onLoop(
+        (frontend, upstreams) -> {
+          upstreams.trustYoung(0);
+          return null;
         });
-    }
-
-    @Test
-    void aStrayBreakTellsNothingOfTheRestBeforeIt() {
-        Freshness freshness = new Freshness(20_000, 50);
-        assertTrue(freshness.trusts(19_000, false));
-        for (int i = 0; i < 20; i++) {
-            freshness.broke(400);
-            assertTrue(freshness.trusts(19_000, true));
-            // What would be lost with its connection is not put at risk meanwhile.
-            assertFalse(freshness.trusts(51, false));
-            assertTrue(freshness.trusts(50, false));
-            for (int use = 0; use < 10; use++) {
-                freshness.held(400);
-            }
-        }
-        for (int use = 0; use < 60; use++) {
-            freshness.held(400);
-        }
-        assertTrue(freshness.trusts(19_000, false));
-    }
-
-    @Test
-    void manyBreaksAtOnceAfterARestShortenTheRestThatIsTrusted() {
-        Freshness freshness = new Freshness(20_000, 50);
-        assertTrue(freshness.trusts(19_000, true));
-        for (int i = 0; i < 3; i++) {
-            assertTrue(freshness.trusts(201, true));
-            freshness.broke(400);
-            // Young ones tell nothing.
-            freshness.held(50);
-        }
-        assertTrue(freshness.trusts(200, true));
-        assertFalse(freshness.trusts(201, true));
-        // A break after a longer rest tells nothing new, one after the shortest does not end all trust.
-        freshness.broke(600);
-        assertFalse(freshness.trusts(201, true));
-        freshness.broke(1);
-        assertTrue(freshness.trusts(50, true));
-        for (int second = 0; second < 60; second++) {
-            freshness.recover();
-        }
-        assertTrue(freshness.trusts(20_000, true));
-        assertFalse(freshness.trusts(20_001, true));
-        assertTrue(freshness.trusts(20_000, false));
-    }
-
-    @ParameterizedTest
-    @ValueSource(booleans = {false, true})
-    void aPooledConnectionThatItsUpstreamClosedIsNotUsed(boolean abruptly) throws Exception {
-        try (Stage stage = new Stage().start()) {
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            Peer upstream = stage.upstreams.get(0).accept();
-            upstream.read();
-            upstream.write(Stage.ok("one"));
-            caller.read();
-            if (abruptly) {
-                upstream.reset();
-            } else {
-                upstream.close();
-            }
-            caller.write(Stage.get("2", "10"));
-            Peer fresh = stage.upstreams.get(0).accept();
-            assertEquals("2", fresh.read().header("X-Txn"));
-            fresh.write(Stage.ok("two"));
-            assertEquals("two", caller.read().body());
-            assertEquals(Result.OK, stage.script.result());
-            assertEquals(Result.OK, stage.script.result());
-        }
-    }
-
-    @Test
-    void aConnectionThatNeverComesUpNeverRan() throws Exception {
-        try (Stage stage = new Stage(); Backlog full = new Backlog()) {
-            stage.connectTimeout = 200;
-            stage.script.onStart = () -> stage.script.actions.watch(true);
-            stage.start();
-            tell(stage, Stage.entry(9, full.address(), "up"));
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            assertEquals(Result.CONNECT_FAILED, stage.script.result());
-            assertEquals(502, caller.read().status());
-        }
-    }
-
-    @Test
-    void aConnectionThatComesUpLateIsDialledOnceMore() throws Exception {
-        try (Stage stage = new Stage(); Backlog full = new Backlog()) {
-            stage.connectTimeout = 15_000;
-            stage.script.onStart = () -> stage.script.actions.watch(true);
-            stage.start();
-            // As after many that came up in no time; the first is dialled once more after 10 ms.
-            stage.node.onLoop((frontend, upstreams) -> {
-                upstreams.connectTime().set(0.1);
-                upstreams.settleFor(0);
-                return null;
-            });
-            tell(stage, Stage.entry(9, full.address(), "up"));
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "9"));
-            // Both hang until the backlog has room.
-            while (stage.node.onLoop((frontend, upstreams) -> upstreams.dialling()) < 2) {
-                Thread.onSpinWait();
-            }
-            List<Peer> up = new CopyOnWriteArrayList<>();
-            Thread accepting = new Thread(() -> acceptAll(full, up));
-            accepting.start();
-            // Whichever is up first has the request, and the other nothing.
-            Peer carries = null;
-            while (carries == null) {
-                for (Peer one : up) {
-                    carries = one.unread() > 0 ? one : carries;
-                }
-            }
-            carries.read();
-            carries.write(Stage.ok("served"));
-            assertEquals(200, caller.read().status());
-            assertEquals(Result.OK, stage.script.result());
-            while (stage.node.onLoop((frontend, upstreams) -> upstreams.dialling()) > 0) {
-                Thread.onSpinWait();
-            }
-            for (Peer one : up) {
-                assertEquals(0, one.unread());
-                one.close();
-            }
-        }
-    }
-
-    private static void acceptAll(Backlog full, List<Peer> up) {
-        try {
-            while (true) {
-                up.add(full.acceptLast());
-            }
-        } catch (Exception e) {
-            // The listening socket was closed.
-        }
-    }
-
-    @ParameterizedTest
-    @ValueSource(ints = {50, 1_800})
-    void anAttemptThatWaitsToConnectDoesNotBeginAfterTheGraceOfADrain(int grace) throws Exception {
-        try (Stage stage = new Stage(); Backlog full = new Backlog()) {
-            stage.connectTimeout = 15_000;
-            // Half of it is left to the news, which may have been there for so long.
-            stage.drainGrace = grace;
-            stage.script.onStart = () -> stage.script.actions.watch(true);
-            stage.start();
-            Peer watch = tell(stage, Stage.entry(9, full.address(), "up"));
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            // The node has the request once it has answered what came after it on its one thread.
-            Peer other = stage.caller();
-            other.write("GET /_health HTTP/1.1\r\n\r\n");
-            other.read();
-            watch.read();
-            watch.write(Stage.ok(Stage.roster(43, false, Stage.entry(9, full.address(), "draining"))));
-            assertEquals(Change.DELTA, Script.next(stage.script.changes));
-            // The kernel tries to connect again only after a second, long past the grace.
-            try (Peer late = full.acceptLast()) {
-                assertTrue(late.ended(), "the request was written after the grace");
-            }
-            assertEquals(Result.CONNECT_FAILED, stage.script.result());
-            assertEquals(502, caller.read().status());
-        }
-    }
-
-    @ParameterizedTest
-    @ValueSource(booleans = {false, true})
-    void anAttemptThatWaitsToConnectDoesNotBeginOnceItsClientHasLeft(boolean reset) throws Exception {
-        try (Stage stage = new Stage(); Backlog full = new Backlog()) {
-            stage.connectTimeout = 15_000;
-            stage.script.onStart = () -> stage.script.actions.watch(true);
-            stage.start();
-            tell(stage, Stage.entry(9, full.address(), "up"));
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            takenIn(stage);
-            if (reset) {
-                caller.reset();
-            } else {
-                caller.close();
-            }
-            // The module, which may not be allowed to, calls nothing off; the connection still hangs.
-            assertEquals(Result.NOT_SENT, stage.script.result());
-            assertEquals(1, Script.next(stage.script.gone));
-        }
-    }
-
-    @Test
-    void anAttemptWhoseConnectionComesUpDoesNotBeginWhileItsClientsLeavingLiesUnread() throws Exception {
-        try (Stage stage = new Stage(); Backlog full = new Backlog()) {
-            stage.connectTimeout = 15_000;
-            stage.script.onStart = () -> stage.script.actions.watch(true);
-            stage.start();
-            tell(stage, Stage.entry(9, full.address(), "up"));
-            Peer caller = stage.caller();
-            caller.write(Stage.spend("1", "x"));
-            takenIn(stage);
-            Peer late = stage.node.onLoop((frontend, upstreams) -> {
+  }
+
+  @Test
+  void aStrayBreakTellsNothingOfTheRestBeforeIt() {
+    Freshness freshness = new Freshness(20_000, 50);
+    assertTrue(freshness.trusts(19_000, false));
+    for (int i = 0; i < 20; i++) {
+      freshness.broke(400);
+      assertTrue(freshness.trusts(19_000, true));
+      // What would be lost with its connection is not put at risk meanwhile.
+      assertFalse(freshness.trusts(51, false));
+      assertTrue(freshness.trusts(50, false));
+      for (int use = 0; use < 10; use++) {
+        freshness.held(400);
+      }
+    }
+    for (int use = 0; use < 60; use++) {
+      freshness.held(400);
+    }
+    assertTrue(freshness.trusts(19_000, false));
+  }
+
+  @Test
+  void manyBreaksAtOnceAfterARestShortenTheRestThatIsTrusted() {
+    Freshness freshness = new Freshness(20_000, 50);
+    assertTrue(freshness.trusts(19_000, true));
+    for (int i = 0; i < 3; i++) {
+      assertTrue(freshness.trusts(201, true));
+      freshness.broke(400);
+      // Young ones tell nothing.
+      freshness.held(50);
+    }
+    assertTrue(freshness.trusts(200, true));
+    assertFalse(freshness.trusts(201, true));
+    // A break after a longer rest tells nothing new, one after the shortest does not end all trust.
+    freshness.broke(600);
+    assertFalse(freshness.trusts(201, true));
+    freshness.broke(1);
+    assertTrue(freshness.trusts(50, true));
+    for (int second = 0; second < 60; second++) {
+      freshness.recover();
+    }
+    assertTrue(freshness.trusts(20_000, true));
+    assertFalse(freshness.trusts(20_001, true));
+    assertTrue(freshness.trusts(20_000, false));
+  }
+
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void aPooledConnectionThatItsUpstreamClosedIsNotUsed(boolean abruptly) throws Exception {
+    try (Stage stage = new Stage().start()) {
+      Peer caller = stage.caller();
+      caller.write(Stage.get("1", "10"));
+      Peer upstream = stage.upstreams.get(0).accept();
+      upstream.read();
+      upstream.write(Stage.ok("one"));
+      caller.read();
+      if (abruptly) {
+        upstream.reset();
+      } else {
+        upstream.close();
+      }
+      caller.write(Stage.get("2", "10"));
+      Peer fresh = stage.upstreams.get(0).accept();
+      assertEquals("2", fresh.read().header("X-Txn"));
+      fresh.write(Stage.ok("two"));
+      assertEquals("two", caller.read().body());
+      assertEquals(Result.OK, stage.script.result());
+      assertEquals(Result.OK, stage.script.result());
+    }
+  }
+
+  @Test
+  void aConnectionThatNeverComesUpNeverRan() throws Exception {
+    try (Stage stage = new Stage();
+        Backlog full = new Backlog()) {
+      stage.connectTimeout = 200;
+      stage.script.onStart = () -> stage.script.actions.watch(true);
+      stage.start();
+      tell(stage, Stage.entry(9, full.address(), "up"));
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("1", "x"));
+      assertEquals(Result.CONNECT_FAILED, stage.script.result());
+      assertEquals(502, caller.read().status());
+    }
+  }
+
+  @Test
+  void aConnectionThatComesUpLateIsDialledOnceMore() throws Exception {
+    try (Stage stage = new Stage();
+        Backlog full = new Backlog()) {
+      stage.connectTimeout = 15_000;
+      stage.script.onStart = () -> stage.script.actions.watch(true);
+      stage.start();
+      // As after many that came up in no time; the first is dialled once more after 10 ms.
+      stage.node.onLoop(
+          (frontend, upstreams) -> {
+            upstreams.connectTime().set(0.1);
+            upstreams.settleFor(0);
+            return null;
+          });
+      tell(stage, Stage.entry(9, full.address(), "up"));
+      Peer caller = stage.caller();
+      caller.write(Stage.get("1", "9"));
+      // Both hang until the backlog has room.
+      while (stage.node.onLoop((frontend, upstreams) -> upstreams.dialling()) < 2) {
+        Thread.onSpinWait();
+      }
+      List<Peer> up = new CopyOnWriteArrayList<>();
+      Thread accepting = new Thread(() -> acceptAll(full, up));
+      accepting.start();
+      // Whichever is up first has the request, and the other nothing.
+      Peer carries = null;
+      while (carries == null) {
+        for (Peer one : up) {
+          carries = one.unread() > 0 ? one : carries;
+        }
+      }
+      carries.read();
+      carries.write(Stage.ok("served"));
+      assertEquals(200, caller.read().status());
+      assertEquals(Result.OK, stage.script.result());
+      while (stage.node.onLoop((frontend, upstreams) -> upstreams.dialling()) > 0) {
+        Thread.onSpinWait();
+      }
+      for (Peer one : up) {
+        assertEquals(0, one.unread());
+        one.close();
+      }
+    }
+  }
+
+  private static void acceptAll(Backlog full, List<Peer> up) {
+    try {
+      while (true) {
+        up.add(full.acceptLast());
+      }
+    } catch (Exception e) {
+      // The listening socket was closed.
+    }
+  }
+
+  @ParameterizedTest
+  @ValueSource(ints = {50, 1_800})
+  void anAttemptThatWaitsToConnectDoesNotBeginAfterTheGraceOfADrain(int grace) throws Exception {
+    try (Stage stage = new Stage();
+        Backlog full = new Backlog()) {
+      stage.connectTimeout = 15_000;
+      // Half of it is left to the news, which may have been there for so long.
+      stage.drainGrace = grace;
+      stage.script.onStart = () -> stage.script.actions.watch(true);
+      stage.start();
+      Peer watch = tell(stage, Stage.entry(9, full.address(), "up"));
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("1", "x"));
+      // The node has the request once it has answered what came after it on its one thread.
+      Peer other = stage.caller();
+      other.write("GET /_health HTTP/1.1\r\n\r\n");
+      other.read();
+      watch.read();
+      watch.write(Stage.ok(Stage.roster(43, false, Stage.entry(9, full.address(), "draining"))));
+      assertEquals(Change.DELTA, Script.next(stage.script.changes));
+      // The kernel tries to connect again only after a second, long past the grace.
+      try (Peer late = full.acceptLast()) {
+        assertTrue(late.ended(), "the request was written after the grace");
+      }
+      assertEquals(Result.CONNECT_FAILED, stage.script.result());
+      assertEquals(502, caller.read().status());
+    }
+  }
+
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void anAttemptThatWaitsToConnectDoesNotBeginOnceItsClientHasLeft(boolean reset) throws Exception {
+    try (Stage stage = new Stage();
+        Backlog full = new Backlog()) {
+      stage.connectTimeout = 15_000;
+      stage.script.onStart = () -> stage.script.actions.watch(true);
+      stage.start();
+      tell(stage, Stage.entry(9, full.address(), "up"));
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("1", "x"));
+      takenIn(stage);
+      if (reset) {
+        caller.reset();
+      } else {
+        caller.close();
+      }
+      // The module, which may not be allowed to, calls nothing off; the connection still hangs.
+      assertEquals(Result.NOT_SENT, stage.script.result());
+      assertEquals(1, Script.next(stage.script.gone));
+    }
+  }
+
+  @Test
+  void anAttemptWhoseConnectionComesUpDoesNotBeginWhileItsClientsLeavingLiesUnread()
+      throws Exception {
+    try (Stage stage = new Stage();
+        Backlog full = new Backlog()) {
+      stage.connectTimeout = 15_000;
+      stage.script.onStart = () -> stage.script.actions.watch(true);
+      stage.start();
+      tell(stage, Stage.entry(9, full.address(), "up"));
+      Peer caller = stage.caller();
+      caller.write(Stage.spend("1", "x"));
+      takenIn(stage);
+      Peer late =
+          stage.node.onLoop(
+              (frontend, upstreams) -> {
                 try {
-                    // The node sees both only afterwards, and what came first is handled first.
-                    Peer up = full.acceptLast();
-                    caller.close();
-                    return up;
+                  // The node sees both only afterwards, and what came first is handled first.
+                  Peer up = full.acceptLast();
+                  caller.close();
+                  return up;
                 } catch (Exception e) {
-                    throw new IllegalStateException(e);
+                  throw new IllegalStateException(e);
                 }
-            });
-            try (late) {
-                assertTrue(late.ended(), "the request was written for nobody");
-            }
-            assertEquals(Result.NOT_SENT, stage.script.result());
-            assertEquals(1, Script.next(stage.script.gone));
-        }
-    }
-
-    @Test
-    void anAttemptThatWaitsToConnectDoesNotBeginWhereItsUpstreamWasBefore() throws Exception {
-        try (Stage stage = new Stage(); Backlog full = new Backlog()) {
-            stage.connectTimeout = 15_000;
-            stage.script.onStart = () -> stage.script.actions.watch(true);
-            stage.start();
-            Peer watch = tell(stage, Stage.entry(9, full.address(), "up"));
-            stage.caller().write(Stage.spend("1", "x"));
-            takenIn(stage);
-            watch.read();
-            // It drains, goes, and is back under its id elsewhere: the old address may be another's now.
-            watch.write(Stage.ok(Stage.roster(43, false, Stage.entry(9, full.address(), "draining"))));
-            assertEquals(Change.DELTA, Script.next(stage.script.changes));
-            watch.read();
-            watch.write(Stage.ok(Stage.roster(44, false,
-                    Stage.entry(9, stage.upstreams.get(0).address(), "up"))));
-            assertEquals(Change.DELTA, Script.next(stage.script.changes));
-            try (Peer late = full.acceptLast()) {
-                assertTrue(late.ended(), "the request was written to the old address");
-            }
-            assertEquals(Result.CONNECT_FAILED, stage.script.result());
-            stage.servesStill();
-        }
-    }
-
-    @Test
-    void aConnectionToWhereAnUpstreamWasIsNotKeptForItsNextRequest() throws Exception {
-        try (Stage stage = new Stage(2)) {
-            stage.script.onStart = () -> stage.script.actions.watch(true);
-            stage.start();
-            Peer watch = tell(stage, Stage.entry(9, stage.upstreams.get(1).address(), "up"));
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            Peer old = stage.upstreams.get(1).accept();
-            old.read();
-            watch.read();
-            watch.write(Stage.ok(Stage.roster(43, false,
-                    Stage.entry(9, stage.upstreams.get(0).address(), "up"))));
-            assertEquals(Change.DELTA, Script.next(stage.script.changes));
-            old.write(Stage.ok("before"));
-            assertEquals("before", caller.read().body());
-            assertTrue(old.ended());
-            stage.servesStill();
-        }
-    }
-
-    @Test
-    void aProbeBringsTheLoadReport() throws Exception {
-        try (Stage stage = new Stage().start()) {
-            stage.script.onRequest = request -> {
-                stage.script.actions.probe(stage.script.upstreams.get(0).id());
-                stage.script.actions.refuse(request.id(), 0);
-            };
-            Peer caller = stage.caller();
-            caller.write(Stage.get("1", "10"));
-            assertEquals(503, caller.read().status());
-            Peer upstream = stage.upstreams.get(0).accept();
-            assertEquals("GET /_load HTTP/1.1", upstream.read().first());
-            upstream.write(Stage.ok("TEXT queue=2, eps=0.5, latency_ms=61"));
-            assertEquals("OK [2.0, 0.5, 61.0]", Script.next(stage.script.probes));
-        }
-    }
-
-    @Test
-    void idleConnectionsGiveWayToCallersWhenDescriptorsRunShort() throws Exception {
-        try (Stage stage = new Stage(6)) {
-            stage.sockets = 64 + 10;
-            stage.start();
-            Peer caller = stage.caller();
-            List<Peer> idle = new ArrayList<>();
-            for (int i = 0; i < 6; i++) {
-                int to = i;
-                stage.script.onRequest = request -> stage.script.sendTo(to, request, 0);
-                caller.write(Stage.get("r" + i, "10"));
-                idle.add(stage.upstreams.get(i).accept());
-                idle.get(i).read();
-                idle.get(i).write(Stage.ok("a"));
-                caller.read();
-            }
-            for (int i = 0; i < 6; i++) {
-                Peer more = stage.caller();
-                more.write("GET /_health HTTP/1.1\r\n\r\n");
-                assertEquals(200, more.read().status());
-            }
-            assertTrue(idle.get(0).ended() && idle.get(1).ended() && idle.get(2).ended());
-        }
-    }
-
-    /** Answers the node's first watch with a whole list of one upstream. */
-    private static Peer tell(Stage stage, String entry) throws Exception {
-        Script.next(stage.script.changes);
-        Peer watch = stage.discovery.accept();
-        watch.read();
-        watch.write(Stage.ok(Stage.roster(42, true, entry)));
-        assertEquals(Change.FULL, Script.next(stage.script.changes));
-        return watch;
-    }
+              });
+      try (late) {
+        assertTrue(late.ended(), "the request was written for nobody");
+      }
+      assertEquals(Result.NOT_SENT, stage.script.result());
+      assertEquals(1, Script.next(stage.script.gone));
+    }
+  }
+
+  @Test
+  void anAttemptThatWaitsToConnectDoesNotBeginWhereItsUpstreamWasBefore() throws Exception {
+    try (Stage stage = new Stage();
+        Backlog full = new Backlog()) {
+      stage.connectTimeout = 15_000;
+      stage.script.onStart = () -> stage.script.actions.watch(true);
+      stage.start();
+      Peer watch = tell(stage, Stage.entry(9, full.address(), "up"));
+      stage.caller().write(Stage.spend("1", "x"));
+      takenIn(stage);
+      watch.read();
+      // It drains, goes, and is back under its id elsewhere: the old address may be another's now.
+      watch.write(Stage.ok(Stage.roster(43, false, Stage.entry(9, full.address(), "draining"))));
+      assertEquals(Change.DELTA, Script.next(stage.script.changes));
+      watch.read();
+      watch.write(
+          Stage.ok(
+              Stage.roster(44, false, Stage.entry(9, stage.upstreams.get(0).address(), "up"))));
+      assertEquals(Change.DELTA, Script.next(stage.script.changes));
+      try (Peer late = full.acceptLast()) {
+        assertTrue(late.ended(), "the request was written to the old address");
+      }
+      assertEquals(Result.CONNECT_FAILED, stage.script.result());
+      stage.servesStill();
+    }
+  }
+
+  @Test
+  void aConnectionToWhereAnUpstreamWasIsNotKeptForItsNextRequest() throws Exception {
+    try (Stage stage = new Stage(2)) {
+      stage.script.onStart = () -> stage.script.actions.watch(true);
+      stage.start();
+      Peer watch = tell(stage, Stage.entry(9, stage.upstreams.get(1).address(), "up"));
+      Peer caller = stage.caller();
+      caller.write(Stage.get("1", "10"));
+      Peer old = stage.upstreams.get(1).accept();
+      old.read();
+      watch.read();
+      watch.write(
+          Stage.ok(
+              Stage.roster(43, false, Stage.entry(9, stage.upstreams.get(0).address(), "up"))));
+      assertEquals(Change.DELTA, Script.next(stage.script.changes));
+      old.write(Stage.ok("before"));
+      assertEquals("before", caller.read().body());
+      assertTrue(old.ended());
+      stage.servesStill();
+    }
+  }
+
+  @Test
+  void aProbeBringsTheLoadReport() throws Exception {
+    try (Stage stage = new Stage().start()) {
+      stage.script.onRequest =
+          request -> {
+            stage.script.actions.probe(stage.script.upstreams.get(0).id());
+            stage.script.actions.refuse(request.id(), 0);
+          };
+      Peer caller = stage.caller();
+      caller.write(Stage.get("1", "10"));
+      assertEquals(503, caller.read().status());
+      Peer upstream = stage.upstreams.get(0).accept();
+      assertEquals("GET /_load HTTP/1.1", upstream.read().first());
+      upstream.write(Stage.ok("TEXT queue=2, eps=0.5, latency_ms=61"));
+      assertEquals("OK [2.0, 0.5, 61.0]", Script.next(stage.script.probes));
+    }
+  }
+
+  @Test
+  void idleConnectionsGiveWayToCallersWhenDescriptorsRunShort() throws Exception {
+    try (Stage stage = new Stage(6)) {
+      stage.sockets = 64 + 10;
+      stage.start();
+      Peer caller = stage.caller();
+      List<Peer> idle = new ArrayList<>();
+      for (int i = 0; i < 6; i++) {
+        int to = i;
+        stage.script.onRequest = request -> stage.script.sendTo(to, request, 0);
+        caller.write(Stage.get("r" + i, "10"));
+        idle.add(stage.upstreams.get(i).accept());
+        idle.get(i).read();
+        idle.get(i).write(Stage.ok("a"));
+        caller.read();
+      }
+      for (int i = 0; i < 6; i++) {
+        Peer more = stage.caller();
+        more.write("GET /_health HTTP/1.1\r\n\r\n");
+        assertEquals(200, more.read().status());
+      }
+      assertTrue(idle.get(0).ended() && idle.get(1).ended() && idle.get(2).ended());
+    }
+  }
+
+  /** Answers the node's first watch with a whole list of one upstream. */
+  private static Peer tell(Stage stage, String entry) throws Exception {
+    Script.next(stage.script.changes);
+    Peer watch = stage.discovery.accept();
+    watch.read();
+    watch.write(Stage.ok(Stage.roster(42, true, entry)));
+    assertEquals(Change.FULL, Script.next(stage.script.changes));
+    return watch;
+  }
 }
--- a/src/test/java/cranedeal/scale/BalancerFleetTest.java
+++ b/src/test/java/cranedeal/scale/BalancerFleetTest.java
@@ -26,192 +26,218 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Several balancers, each a process of its own, on one processor before upstreams that partly start cold,
- * while a release replaces some of them and a burst comes. Each request is accounted for. It runs in small
- * with the other tests; {@code -Dfleet.requests=N} sets how many each client sends.
+ * Several balancers, each a process of its own, on one processor before upstreams that partly start
+ * cold, while a release replaces some of them and a burst comes. Each request is accounted for. It
+ * runs in small with the other tests; {@code -Dfleet.requests=N} sets how many each client sends.
  */
 @Timeout(value = 180, unit = TimeUnit.SECONDS)
 class BalancerFleetTest {
 
-    private static final int BALANCERS = 12;
-    private static final int UPSTREAMS = 30;
-    /** Of the upstreams, the first are drained in the release, and the last start cold. */
-    private static final int RELEASED = 6;
-    private static final int COLD = 10;
-    private static final int WARM_SLOTS = 16;
-    private static final int COLD_SLOTS = 6;
-    private static final int CLIENTS = 24;
-    private static final int REQUESTS = Integer.getInteger("fleet.requests", 60);
-    /** Clients that come for the burst only, and how many requests each sends without a pause. */
-    private static final int BURST_CLIENTS = 24;
-    private static final int BURST_REQUESTS = 8;
-    private static final long PAUSE_MS = 30;
-    private static final long RETRY_MS = 100;
-    private static final double DEADLINE_MS = 4_000;
-    /** An answer that is later than this after the request's time is lost, by the standing check. */
-    private static final double LATE_MS = 500;
-    private static final double DRAIN_GRACE_MS = 250;
-    /**
-     * What a watch may take to begin anew, and a busy machine to let processes run: with the grace less than
-     * the pauses that the clients make after the release.
-     */
-    private static final double TOLD_SLACK_MS = 750;
-    private static final int SERVED_PERCENT = 50;
-
-    private final EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1,
-            new DefaultThreadFactory("upstreams", true), NioIoHandler.newFactory()).next();
-    private final List<UpstreamStandIn> upstreams = new ArrayList<>();
-    private final Queue<Outcome> outcomes = new ConcurrentLinkedQueue<>();
-    private final Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger asked = new AtomicInteger();
-    private final CountDownLatch third = new CountDownLatch(CLIENTS * REQUESTS / 3);
-
-    private static String configuration(int position, InetSocketAddress listen, InetSocketAddress asked) {
-        return Fleet.config(listen, asked, 7 + position, BALANCERS, 0, 1)
-                .replace("\"position\":0", "\"position\":" + position)
-                .replaceAll("\"deadline\":[0-9.]+", "\"deadline\":" + DEADLINE_MS)
-                .replaceAll("\"drainGrace\":[0-9.]+", "\"drainGrace\":" + DRAIN_GRACE_MS)
-                .replace("\"services\":[", """
+  private static final int BALANCERS = 12;
+  private static final int UPSTREAMS = 30;
+
+  /** Of the upstreams, the first are drained in the release, and the last start cold. */
+  private static final int RELEASED = 6;
+
+  private static final int COLD = 10;
+  private static final int WARM_SLOTS = 16;
+  private static final int COLD_SLOTS = 6;
+  private static final int CLIENTS = 24;
+  private static final int REQUESTS = Integer.getInteger("fleet.requests", 60);
+
+  /** Clients that come for the burst only, and how many requests each sends without a pause. */
+  private static final int BURST_CLIENTS = 24;
+
+  private static final int BURST_REQUESTS = 8;
+  private static final long PAUSE_MS = 30;
+  private static final long RETRY_MS = 100;
+  private static final double DEADLINE_MS = 4_000;
+
+  /** An answer that is later than this after the request's time is lost, by the standing check. */
+  private static final double LATE_MS = 500;
+
+  private static final double DRAIN_GRACE_MS = 250;
+
+  /**
+   * What a watch may take to begin anew, and a busy machine to let processes run: with the grace
+   * less than the pauses that the clients make after the release.
+   */
+  private static final double TOLD_SLACK_MS = 750;
+
+  private static final int SERVED_PERCENT = 50;
+
+  private final EventLoop loop =
+      (EventLoop)
+          new MultiThreadIoEventLoopGroup(
+                  1, new DefaultThreadFactory("upstreams", true), NioIoHandler.newFactory())
+              .next();
+  private final List<UpstreamStandIn> upstreams = new ArrayList<>();
+  private final Queue<Outcome> outcomes = new ConcurrentLinkedQueue<>();
+  private final Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
+  private final AtomicInteger asked = new AtomicInteger();
+  private final CountDownLatch third = new CountDownLatch(CLIENTS * REQUESTS / 3);
+
+  private static String configuration(
+      int position, InetSocketAddress listen, InetSocketAddress asked) {
+    return Fleet.config(listen, asked, 7 + position, BALANCERS, 0, 1)
+        .replace("\"position\":0", "\"position\":" + position)
+        .replaceAll("\"deadline\":[0-9.]+", "\"deadline\":" + DEADLINE_MS)
+        .replaceAll("\"drainGrace\":[0-9.]+", "\"drainGrace\":" + DRAIN_GRACE_MS)
+        .replace(
+            "\"services\":[",
+            """
                         "services":[
                          {"name":"charge","aim":400.0,"deadline":%s,"worth":4.0,"lateValue":0.5,
-                          "idempotency":"at_most_once","streamed":false},""".formatted(DEADLINE_MS));
-    }
+                          "idempotency":"at_most_once","streamed":false},"""
+                .formatted(DEADLINE_MS));
+  }
 
-    private Entry entry(int number, long startedMillis) {
-        return new Entry(number, 0, "up", startedMillis, upstreams.get(number).address());
-    }
+  private Entry entry(int number, long startedMillis) {
+    return new Entry(number, 0, "up", startedMillis, upstreams.get(number).address());
+  }
 
-    /** Sends so many requests, each once more if it was refused or failed, as a new one. */
-    private Thread client(String name, InetSocketAddress balancer, int requests, long pause) {
-        Thread thread = new Thread(() -> {
-            try (ClientStandIn client = new ClientStandIn(balancer, DEADLINE_MS,
-                    (int) (DEADLINE_MS + 2 * LATE_MS))) {
+  /** Sends so many requests, each once more if it was refused or failed, as a new one. */
+  private Thread client(String name, InetSocketAddress balancer, int requests, long pause) {
+    Thread thread =
+        new Thread(
+            () -> {
+              try (ClientStandIn client =
+                  new ClientStandIn(balancer, DEADLINE_MS, (int) (DEADLINE_MS + 2 * LATE_MS))) {
                 for (int i = 0; i < requests; i++) {
-                    Kind kind = Kind.values()[i % Kind.values().length];
-                    if (ask(client, kind, name + "-" + i).status() != 200) {
-                        TimeUnit.MILLISECONDS.sleep(RETRY_MS);
-                        ask(client, kind, name + "-" + i + "-again");
-                    }
-                    third.countDown();
-                    TimeUnit.MILLISECONDS.sleep(pause);
+                  Kind kind = Kind.values()[i % Kind.values().length];
+                  if (ask(client, kind, name + "-" + i).status() != 200) {
+                    TimeUnit.MILLISECONDS.sleep(RETRY_MS);
+                    ask(client, kind, name + "-" + i + "-again");
+                  }
+                  third.countDown();
+                  TimeUnit.MILLISECONDS.sleep(pause);
                 }
-            } catch (Exception | AssertionError e) {
+              } catch (Exception | AssertionError e) {
                 failures.add(e);
-            }
-        }, name);
-        thread.start();
-        return thread;
-    }
+              }
+            },
+            name);
+    thread.start();
+    return thread;
+  }
 
-    private Outcome ask(ClientStandIn client, Kind kind, String transaction) throws Exception {
-        asked.incrementAndGet();
-        Outcome outcome = client.ask(kind, transaction);
-        outcomes.add(outcome);
-        return outcome;
-    }
+  private Outcome ask(ClientStandIn client, Kind kind, String transaction) throws Exception {
+    asked.incrementAndGet();
+    Outcome outcome = client.ask(kind, transaction);
+    outcomes.add(outcome);
+    return outcome;
+  }
 
-    @Test
-    void eachRequestHasOneAnswerInTimeAndNoneGoesToAnUpstreamThatLeaves() throws Exception {
-        long now = System.currentTimeMillis();
-        List<Entry> entries = new ArrayList<>();
-        for (int i = 0; i < UPSTREAMS + RELEASED; i++) {
-            boolean cold = i >= UPSTREAMS - COLD;
-            upstreams.add(new UpstreamStandIn(loop, cold ? COLD_SLOTS : WARM_SLOTS));
-            entries.add(entry(i, cold ? now : 0));
-        }
-        // One processor for all of them.
-        String run = ServeCommand.fromClasses("-Xshare:auto")
-                .replaceFirst("^exec ", "exec taskset -c 0 ");
-        List<Thread> clients = new ArrayList<>();
-        List<RealBalancer> balancers = List.of();
-        long drainedAt;
-        try (DiscoveryStandIn discovery = new DiscoveryStandIn(entries.subList(0, UPSTREAMS),
-                new DiscoveryStandInTest.Deaf())) {
-            InetSocketAddress asked = discovery.address(DiscoveryStandIn.REAL);
-            balancers = RealBalancer.start(BALANCERS, run,
-                    (position, listen) -> configuration(position, listen, asked));
-            for (int i = 0; i < CLIENTS; i++) {
-                clients.add(client("c" + i, balancers.get(i % BALANCERS).address(), REQUESTS, PAUSE_MS));
-            }
-            third.await();
-            for (int i = 0; i < BURST_CLIENTS; i++) {
-                clients.add(client("b" + i, balancers.get(i % BALANCERS).address(), BURST_REQUESTS, 0));
-            }
-            drainedAt = release(discovery, entries);
-            for (Thread client : clients) {
-                client.join();
-            }
-            for (RealBalancer balancer : balancers) {
-                balancer.checkAlive();
-            }
-        } finally {
-            balancers.forEach(RealBalancer::close);
-            upstreams.forEach(UpstreamStandIn::close);
-            loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
-        }
-        assertEquals(List.of(), List.copyOf(failures));
-        checkAnswers();
-        checkReceived(drainedAt);
+  @Test
+  void eachRequestHasOneAnswerInTimeAndNoneGoesToAnUpstreamThatLeaves() throws Exception {
+    long now = System.currentTimeMillis();
+    List<Entry> entries = new ArrayList<>();
+    for (int i = 0; i < UPSTREAMS + RELEASED; i++) {
+      boolean cold = i >= UPSTREAMS - COLD;
+      upstreams.add(new UpstreamStandIn(loop, cold ? COLD_SLOTS : WARM_SLOTS));
+      entries.add(entry(i, cold ? now : 0));
     }
-
-    /** Drains the first upstreams and brings cold ones in their place; when discovery had the news. */
-    private static long release(DiscoveryStandIn discovery, List<Entry> entries) {
-        List<Entry> changed = new ArrayList<>();
-        for (int i = 0; i < RELEASED; i++) {
-            changed.add(entries.get(i).with("draining", 0));
-            changed.add(entries.get(UPSTREAMS + i).with("up", System.currentTimeMillis()));
-        }
-        discovery.change(changed);
-        return System.nanoTime();
+    // One processor for all of them.
+    String run =
+        ServeCommand.fromClasses("-Xshare:auto").replaceFirst("^exec ", "exec taskset -c 0 ");
+    List<Thread> clients = new ArrayList<>();
+    List<RealBalancer> balancers = List.of();
+    long drainedAt;
+    try (DiscoveryStandIn discovery =
+        new DiscoveryStandIn(entries.subList(0, UPSTREAMS), new DiscoveryStandInTest.Deaf())) {
+      InetSocketAddress asked = discovery.address(DiscoveryStandIn.REAL);
+      balancers =
+          RealBalancer.start(
+              BALANCERS, run, (position, listen) -> configuration(position, listen, asked));
+      for (int i = 0; i < CLIENTS; i++) {
+        clients.add(client("c" + i, balancers.get(i % BALANCERS).address(), REQUESTS, PAUSE_MS));
+      }
+      third.await();
+      for (int i = 0; i < BURST_CLIENTS; i++) {
+        clients.add(client("b" + i, balancers.get(i % BALANCERS).address(), BURST_REQUESTS, 0));
+      }
+      drainedAt = release(discovery, entries);
+      for (Thread client : clients) {
+        client.join();
+      }
+      for (RealBalancer balancer : balancers) {
+        balancer.checkAlive();
+      }
+    } finally {
+      balancers.forEach(RealBalancer::close);
+      upstreams.forEach(UpstreamStandIn::close);
+      loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
+    assertEquals(List.of(), List.copyOf(failures));
+    checkAnswers();
+    checkReceived(drainedAt);
+  }
 
-    /** One answer for each request, in time, made by an upstream for this request if it is a 200. */
-    private void checkAnswers() {
-        assertEquals(asked.get(), outcomes.size());
-        int served = 0;
-        for (Outcome outcome : outcomes) {
-            assertTrue(Set.of(200, 500, 502, 503, 504).contains(outcome.status()), outcome.toString());
-            assertTrue(outcome.millis() <= DEADLINE_MS + LATE_MS, "late: " + outcome);
-            if (outcome.status() == 200) {
-                assertEquals(UpstreamStandIn.answerTo(outcome.transaction()), outcome.body());
-                served++;
-            }
-        }
-        assertTrue(served * 100 >= outcomes.size() * SERVED_PERCENT,
-                served + " of " + outcomes.size() + " were served");
+  /**
+   * Drains the first upstreams and brings cold ones in their place; when discovery had the news.
+   */
+  private static long release(DiscoveryStandIn discovery, List<Entry> entries) {
+    List<Entry> changed = new ArrayList<>();
+    for (int i = 0; i < RELEASED; i++) {
+      changed.add(entries.get(i).with("draining", 0));
+      changed.add(entries.get(UPSTREAMS + i).with("up", System.currentTimeMillis()));
     }
+    discovery.change(changed);
+    return System.nanoTime();
+  }
 
-    /** Only what clients sent came, unchanged, and nothing came where news of a drain had been told. */
-    private void checkReceived(long drainedAt) {
-        Map<String, Outcome> sent = new HashMap<>();
-        outcomes.forEach(outcome -> sent.put(outcome.transaction(), outcome));
-        Map<String, Integer> runs = new HashMap<>();
-        double last = 0;
-        int joined = 0;
-        for (int i = 0; i < upstreams.size(); i++) {
-            for (Received received : upstreams.get(i).received()) {
-                checkUnchanged(received, sent.get(received.transaction()));
-                runs.merge(received.transaction(), received.ran() ? 1 : 0, Integer::sum);
-                double afterDrain = (received.at() - drainedAt) / ClientStandIn.NANOS_PER_MS;
-                last = Math.max(last, afterDrain);
-                assertTrue(i >= RELEASED || afterDrain <= DRAIN_GRACE_MS + TOLD_SLACK_MS,
-                        afterDrain + " ms after it was told to drain upstream " + i + " got " + received);
-                joined += i >= UPSTREAMS ? 1 : 0;
-            }
-        }
-        assertTrue(last > DRAIN_GRACE_MS + TOLD_SLACK_MS, "nothing came after the grace");
-        assertTrue(joined > 0, "no upstream that joined got anything");
-        for (Outcome outcome : outcomes) {
-            int ran = runs.getOrDefault(outcome.transaction(), 0);
-            assertTrue(outcome.status() != 200 || ran > 0, "nobody ran " + outcome);
-            assertTrue(outcome.kind() != Kind.CHARGE || ran <= 1, ran + " times ran " + outcome);
-        }
+  /** One answer for each request, in time, made by an upstream for this request if it is a 200. */
+  private void checkAnswers() {
+    assertEquals(asked.get(), outcomes.size());
+    int served = 0;
+    for (Outcome outcome : outcomes) {
+      assertTrue(Set.of(200, 500, 502, 503, 504).contains(outcome.status()), outcome.toString());
+      assertTrue(outcome.millis() <= DEADLINE_MS + LATE_MS, "late: " + outcome);
+      if (outcome.status() == 200) {
+        assertEquals(UpstreamStandIn.answerTo(outcome.transaction()), outcome.body());
+        served++;
+      }
     }
+    assertTrue(
+        served * 100 >= outcomes.size() * SERVED_PERCENT,
+        served + " of " + outcomes.size() + " were served");
+  }
 
-    private static void checkUnchanged(Received received, Outcome outcome) {
-        assertTrue(outcome != null, "nobody sent " + received);
-        assertEquals(outcome.kind() == Kind.READ ? "" : received.transaction(), received.body());
-        assertEquals(outcome.kind() == Kind.WRITE ? "key-" + received.transaction() : null,
-                received.idempotencyKey());
+  /**
+   * Only what clients sent came, unchanged, and nothing came where news of a drain had been told.
+   */
+  private void checkReceived(long drainedAt) {
+    Map<String, Outcome> sent = new HashMap<>();
+    outcomes.forEach(outcome -> sent.put(outcome.transaction(), outcome));
+    Map<String, Integer> runs = new HashMap<>();
+    double last = 0;
+    int joined = 0;
+    for (int i = 0; i < upstreams.size(); i++) {
+      for (Received received : upstreams.get(i).received()) {
+        checkUnchanged(received, sent.get(received.transaction()));
+        runs.merge(received.transaction(), received.ran() ? 1 : 0, Integer::sum);
+        double afterDrain = (received.at() - drainedAt) / ClientStandIn.NANOS_PER_MS;
+        last = Math.max(last, afterDrain);
+        assertTrue(
+            i >= RELEASED || afterDrain <= DRAIN_GRACE_MS + TOLD_SLACK_MS,
+            afterDrain + " ms after it was told to drain upstream " + i + " got " + received);
+        joined += i >= UPSTREAMS ? 1 : 0;
+      }
     }
+    assertTrue(last > DRAIN_GRACE_MS + TOLD_SLACK_MS, "nothing came after the grace");
+    assertTrue(joined > 0, "no upstream that joined got anything");
+    for (Outcome outcome : outcomes) {
+      int ran = runs.getOrDefault(outcome.transaction(), 0);
+      assertTrue(outcome.status() != 200 || ran > 0, "nobody ran " + outcome);
+      assertTrue(outcome.kind() != Kind.CHARGE || ran <= 1, ran + " times ran " + outcome);
+    }
+  }
+
+  private static void checkUnchanged(Received received, Outcome outcome) {
+    assertTrue(outcome != null, "nobody sent " + received);
+    assertEquals(outcome.kind() == Kind.READ ? "" : received.transaction(), received.body());
+    assertEquals(
+        outcome.kind() == Kind.WRITE ? "key-" + received.transaction() : null,
+        received.idempotencyKey());
+  }
 }
--- a/src/test/java/cranedeal/wire/WireHostTest.java
+++ b/src/test/java/cranedeal/wire/WireHostTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cranedeal.LoadBalancer;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -15,261 +16,287 @@
 import java.util.HexFormat;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import cranedeal.LoadBalancer;
 
 /** The wire, byte for byte: good frames, and what bad input gets. */
 class WireHostTest {
 
-    private static final int INSTANCE = 3;
-    private static final long UPSTREAM = 0x232b_074a_120aL;
+  private static final int INSTANCE = 3;
+  private static final long UPSTREAM = 0x232b_074a_120aL;
 
-    private record Run(int status, byte[] out, String err) { }
+  private record Run(int status, byte[] out, String err) {}
 
-    private static Run run(byte[] input) {
-        return run(input, "wire");
-    }
+  private static Run run(byte[] input) {
+    return run(input, "wire");
+  }
 
-    private static Run run(byte[] input, String... args) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        ByteArrayOutputStream err = new ByteArrayOutputStream();
-        int status = Main.run(args, new ByteArrayInputStream(input), out, new PrintStream(err, true));
-        return new Run(status, out.toByteArray(), err.toString(StandardCharsets.UTF_8));
-    }
+  private static Run run(byte[] input, String... args) {
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    ByteArrayOutputStream err = new ByteArrayOutputStream();
+    int status = Main.run(args, new ByteArrayInputStream(input), out, new PrintStream(err, true));
+    return new Run(status, out.toByteArray(), err.toString(StandardCharsets.UTF_8));
+  }
 
-    private static byte[] concat(byte[]... parts) {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        for (byte[] part : parts) {
-            all.writeBytes(part);
-        }
-        return all.toByteArray();
+  private static byte[] concat(byte[]... parts) {
+    ByteArrayOutputStream all = new ByteArrayOutputStream();
+    for (byte[] part : parts) {
+      all.writeBytes(part);
     }
+    return all.toByteArray();
+  }
 
-    /** A frame from records and a tail. */
-    private static byte[] frame(double clock, byte[] tail, byte[]... records) {
-        byte[] header = new byte[WireHost.HEADER_BYTES];
-        LittleEndian.putInt(header, 0, records.length * WireHost.RECORD_BYTES + tail.length);
-        LittleEndian.putInt(header, 4, records.length);
-        LittleEndian.putDouble(header, 8, clock);
-        return concat(header, concat(records), tail);
-    }
+  /** A frame from records and a tail. */
+  private static byte[] frame(double clock, byte[] tail, byte[]... records) {
+    byte[] header = new byte[WireHost.HEADER_BYTES];
+    LittleEndian.putInt(header, 0, records.length * WireHost.RECORD_BYTES + tail.length);
+    LittleEndian.putInt(header, 4, records.length);
+    LittleEndian.putDouble(header, 8, clock);
+    return concat(header, concat(records), tail);
+  }
 
-    private static byte[] record(int code, int instance) {
-        byte[] record = new byte[WireHost.RECORD_BYTES];
-        record[0] = (byte) code;
-        LittleEndian.putInt(record, 1, instance);
-        return record;
-    }
+  private static byte[] record(int code, int instance) {
+    byte[] record = new byte[WireHost.RECORD_BYTES];
+    record[0] = (byte) code;
+    LittleEndian.putInt(record, 1, instance);
+    return record;
+  }
 
-    private static byte[] settings(String change) {
-        String text = SettingsParserTest.COMPLETE;
-        if (!change.isEmpty()) {
-            text = text.replaceAll("(?m)^" + change.split("=")[0] + "=.*\n", "") + change + "\n";
-        }
-        return text.getBytes(StandardCharsets.UTF_8);
+  private static byte[] settings(String change) {
+    String text = SettingsParserTest.COMPLETE;
+    if (!change.isEmpty()) {
+      text = text.replaceAll("(?m)^" + change.split("=")[0] + "=.*\n", "") + change + "\n";
     }
+    return text.getBytes(StandardCharsets.UTF_8);
+  }
 
-    private static byte[] entry(long upstream) {
-        byte[] entry = new byte[WireHost.ENTRY_BYTES];
-        LittleEndian.putUpstream(entry, 0, upstream);
-        entry[11] = 1;
-        LittleEndian.putInt(entry, 12, Float.floatToIntBits(1f));
-        return entry;
-    }
+  private static byte[] entry(long upstream) {
+    byte[] entry = new byte[WireHost.ENTRY_BYTES];
+    LittleEndian.putUpstream(entry, 0, upstream);
+    entry[11] = 1;
+    LittleEndian.putInt(entry, 12, Float.floatToIntBits(1f));
+    return entry;
+  }
 
-    /** The opening frame: one instance, its settings, a list of one upstream. */
-    private static byte[] opening() {
-        byte[] text = settings("");
-        byte[] provision = record(0, INSTANCE);
-        LittleEndian.putLong(provision, 5, 42);
-        LittleEndian.putInt(provision, 13, 0);
-        LittleEndian.putInt(provision, 17, text.length);
-        byte[] list = record(10, 0);
-        LittleEndian.putShort(list, 1, 0);
-        LittleEndian.putInt(list, 3, text.length);
-        LittleEndian.putInt(list, 7, 1);
-        byte[] discovery = record(1, INSTANCE);
-        discovery[5] = 2;
-        return frame(10_000, concat(text, entry(UPSTREAM)), provision, list, discovery);
-    }
+  /** The opening frame: one instance, its settings, a list of one upstream. */
+  private static byte[] opening() {
+    byte[] text = settings("");
+    byte[] provision = record(0, INSTANCE);
+    LittleEndian.putLong(provision, 5, 42);
+    LittleEndian.putInt(provision, 13, 0);
+    LittleEndian.putInt(provision, 17, text.length);
+    byte[] list = record(10, 0);
+    LittleEndian.putShort(list, 1, 0);
+    LittleEndian.putInt(list, 3, text.length);
+    LittleEndian.putInt(list, 7, 1);
+    byte[] discovery = record(1, INSTANCE);
+    discovery[5] = 2;
+    return frame(10_000, concat(text, entry(UPSTREAM)), provision, list, discovery);
+  }
 
-    private static byte[] incoming(long id) {
-        byte[] record = record(2, INSTANCE);
-        LittleEndian.putLong(record, 5, id);
-        LittleEndian.putDouble(record, 24, 12_000);
-        return record;
-    }
+  private static byte[] incoming(long id) {
+    byte[] record = record(2, INSTANCE);
+    LittleEndian.putLong(record, 5, id);
+    LittleEndian.putDouble(record, 24, 12_000);
+    return record;
+  }
 
-    private static byte[] finished(long id, int code) {
-        byte[] record = record(4, INSTANCE);
-        LittleEndian.putLong(record, 5, id);
-        record[13] = (byte) (code == 10 ? 1 : 0);
-        record[14] = (byte) code;
-        LittleEndian.putUpstream(record, 15, UPSTREAM);
-        LittleEndian.putDouble(record, 23, 20);
-        return record;
-    }
+  private static byte[] finished(long id, int code) {
+    byte[] record = record(4, INSTANCE);
+    LittleEndian.putLong(record, 5, id);
+    record[13] = (byte) (code == 10 ? 1 : 0);
+    record[14] = (byte) code;
+    LittleEndian.putUpstream(record, 15, UPSTREAM);
+    LittleEndian.putDouble(record, 23, 20);
+    return record;
+  }
 
-    private static void assertRefused(String message, byte[] input) {
-        Run run = run(input);
-        assertEquals(1, run.status, run.err);
-        assertTrue(run.err.contains(message), run.err);
-        assertEquals(1, run.err.strip().lines().count(), run.err);
-    }
+  private static void assertRefused(String message, byte[] input) {
+    Run run = run(input);
+    assertEquals(1, run.status, run.err);
+    assertTrue(run.err.contains(message), run.err);
+    assertEquals(1, run.err.strip().lines().count(), run.err);
+  }
 
-    @Test
-    void anEmptyBatchGetsAnEmptyReply() {
-        byte[] batch = HexFormat.of().parseHex("000000000000000000000000206ec040");
-        Run run = run(batch);
-        assertEquals(0, run.status);
-        assertArrayEquals(new byte[8], run.out);
-        assertEquals("", run.err);
-    }
+  @Test
+  void anEmptyBatchGetsAnEmptyReply() {
+    byte[] batch = HexFormat.of().parseHex("000000000000000000000000206ec040");
+    Run run = run(batch);
+    assertEquals(0, run.status);
+    assertArrayEquals(new byte[8], run.out);
+    assertEquals("", run.err);
+  }
 
-    @Test
-    void aRequestIsPlacedOnTheListedUpstream() {
-        Run run = run(concat(opening(), frame(10_005, new byte[0], incoming(0xfa3135d3a91c4L))));
-        assertEquals(0, run.status, run.err);
-        byte[] reply = run.out;
-        // An empty reply to the opening, then one record: place, instance, request, upstream, patience.
-        assertEquals(8 + 8 + 32, reply.length);
-        assertEquals(32, LittleEndian.getInt(reply, 8));
-        assertEquals(1, LittleEndian.getInt(reply, 12));
-        assertEquals("03" + "03000000" + "c4913a5d13a30f00" + "0a124a072b23",
-                HexFormat.of().formatHex(reply, 16, 35));
-        // Nothing seen yet: twice three times the first guess of a fifth of the aim of 500 ms.
-        assertEquals(600, LittleEndian.getDouble(reply, 35), 1e-9);
-        assertEquals("0000000000", HexFormat.of().formatHex(reply, 43, 48));
-    }
+  @Test
+  void aRequestIsPlacedOnTheListedUpstream() {
+    Run run = run(concat(opening(), frame(10_005, new byte[0], incoming(0xfa3135d3a91c4L))));
+    assertEquals(0, run.status, run.err);
+    byte[] reply = run.out;
+    // An empty reply to the opening, then one record: place, instance, request, upstream, patience.
+    assertEquals(8 + 8 + 32, reply.length);
+    assertEquals(32, LittleEndian.getInt(reply, 8));
+    assertEquals(1, LittleEndian.getInt(reply, 12));
+    assertEquals(
+        "03" + "03000000" + "c4913a5d13a30f00" + "0a124a072b23",
+        HexFormat.of().formatHex(reply, 16, 35));
+    // Nothing seen yet: twice three times the first guess of a fifth of the aim of 500 ms.
+    assertEquals(600, LittleEndian.getDouble(reply, 35), 1e-9);
+    assertEquals("0000000000", HexFormat.of().formatHex(reply, 43, 48));
+  }
 
-    @Test
-    void aReplyOfManyRecordsKeepsEveryOneWhole() {
-        // More finals than fit the writer's first buffer: an id written before it grew must not get lost.
-        byte[][] requests = new byte[1_500][];
-        byte[][] failures = new byte[requests.length][];
-        for (int i = 0; i < requests.length; i++) {
-            requests[i] = incoming(i + 1);
-            failures[i] = finished(i + 1, 80);
-        }
-        Run run = run(concat(opening(), frame(10_005, new byte[0], requests),
+  @Test
+  void aReplyOfManyRecordsKeepsEveryOneWhole() {
+    // More finals than fit the writer's first buffer: an id written before it grew must not get
+    // lost.
+    byte[][] requests = new byte[1_500][];
+    byte[][] failures = new byte[requests.length][];
+    for (int i = 0; i < requests.length; i++) {
+      requests[i] = incoming(i + 1);
+      failures[i] = finished(i + 1, 80);
+    }
+    Run run =
+        run(
+            concat(
+                opening(),
+                frame(10_005, new byte[0], requests),
                 frame(10_010, new byte[0], failures)));
-        assertEquals(0, run.status, run.err);
-        int at = run.out.length - requests.length * ReplyWriter.RECORD_BYTES;
-        for (int i = 0; i < requests.length; i++) {
-            assertEquals(0, run.out[at]);
-            assertEquals(i + 1, LittleEndian.getLong(run.out, at + 5));
-            at += ReplyWriter.RECORD_BYTES;
-        }
+    assertEquals(0, run.status, run.err);
+    int at = run.out.length - requests.length * ReplyWriter.RECORD_BYTES;
+    for (int i = 0; i < requests.length; i++) {
+      assertEquals(0, run.out[at]);
+      assertEquals(i + 1, LittleEndian.getLong(run.out, at + 5));
+      at += ReplyWriter.RECORD_BYTES;
     }
+  }
 
-    @Test
-    void aFailureOfTheDecisionCodeBecomesTheFaultAction() throws IOException {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        LoadBalancer broken = (LoadBalancer) Proxy.newProxyInstance(LoadBalancer.class.getClassLoader(),
-                new Class<?>[] {LoadBalancer.class}, (proxy, method, arguments) -> {
-                    if (method.getName().equals("timer")) {
-                        throw new IllegalStateException("broken on purpose");
-                    }
-                    return null;
+  @Test
+  void aFailureOfTheDecisionCodeBecomesTheFaultAction() throws IOException {
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    LoadBalancer broken =
+        (LoadBalancer)
+            Proxy.newProxyInstance(
+                LoadBalancer.class.getClassLoader(),
+                new Class<?>[] {LoadBalancer.class},
+                (proxy, method, arguments) -> {
+                  if (method.getName().equals("timer")) {
+                    throw new IllegalStateException("broken on purpose");
+                  }
+                  return null;
                 });
-        WireHost host = new WireHost(actions -> broken);
-        byte[] ring = frame(10_001, new byte[0], record(6, INSTANCE));
-        host.serve(new ByteArrayInputStream(concat(opening(), ring)), out);
-        byte[] reply = out.toByteArray();
-        assertEquals(4, reply[16]);
-        assertTrue(new String(reply, 48, reply.length - 48, StandardCharsets.UTF_8)
-                .contains("broken on purpose"));
-    }
+    WireHost host = new WireHost(actions -> broken);
+    byte[] ring = frame(10_001, new byte[0], record(6, INSTANCE));
+    host.serve(new ByteArrayInputStream(concat(opening(), ring)), out);
+    byte[] reply = out.toByteArray();
+    assertEquals(4, reply[16]);
+    assertTrue(
+        new String(reply, 48, reply.length - 48, StandardCharsets.UTF_8)
+            .contains("broken on purpose"));
+  }
 
-    @Test
-    void oddButLegalEventsAreQuiet() {
-        byte[] gone = record(5, INSTANCE);
-        LittleEndian.putLong(gone, 5, 99);
-        byte[] ring = record(6, INSTANCE);
-        LittleEndian.putLong(ring, 5, 12345);
-        byte[] probed = record(7, INSTANCE);
-        probed[11] = 10;
-        byte[] headers = record(3, INSTANCE);
-        LittleEndian.putLong(headers, 5, 98);
-        byte[] message = record(8, INSTANCE);
-        byte[] failed = record(1, INSTANCE);
-        failed[5] = 3;
-        byte[] late = incoming(5);
-        LittleEndian.putDouble(late, 24, 9_000);
-        Run run = run(concat(opening(), frame(10_005, new byte[0], gone, ring, probed, headers, message,
-                finished(97, 40), late), frame(10_010, new byte[0], record(9, INSTANCE))));
-        assertEquals(0, run.status, run.err);
-        // Only the request whose deadline has passed is answered: refused.
-        assertEquals(8 + 8 + 32 + 8, run.out.length);
-        assertEquals(0, run.out[16]);
-    }
+  @Test
+  void oddButLegalEventsAreQuiet() {
+    byte[] gone = record(5, INSTANCE);
+    LittleEndian.putLong(gone, 5, 99);
+    byte[] ring = record(6, INSTANCE);
+    LittleEndian.putLong(ring, 5, 12345);
+    byte[] probed = record(7, INSTANCE);
+    probed[11] = 10;
+    byte[] headers = record(3, INSTANCE);
+    LittleEndian.putLong(headers, 5, 98);
+    byte[] message = record(8, INSTANCE);
+    byte[] failed = record(1, INSTANCE);
+    failed[5] = 3;
+    byte[] late = incoming(5);
+    LittleEndian.putDouble(late, 24, 9_000);
+    Run run =
+        run(
+            concat(
+                opening(),
+                frame(
+                    10_005,
+                    new byte[0],
+                    gone,
+                    ring,
+                    probed,
+                    headers,
+                    message,
+                    finished(97, 40),
+                    late),
+                frame(10_010, new byte[0], record(9, INSTANCE))));
+    assertEquals(0, run.status, run.err);
+    // Only the request whose deadline has passed is answered: refused.
+    assertEquals(8 + 8 + 32 + 8, run.out.length);
+    assertEquals(0, run.out[16]);
+  }
 
-    @Test
-    void badFramesEndTheRunWithAMessage() {
-        byte[] none = new byte[0];
-        assertRefused("inside the header", new byte[5]);
-        assertRefused("input ends after", Arrays.copyOf(opening(), 60));
-        byte[] records = new byte[WireHost.HEADER_BYTES];
-        LittleEndian.putInt(records, 4, 7);
-        assertRefused("7 records do not fit", records);
-        byte[] huge = new byte[WireHost.HEADER_BYTES];
-        LittleEndian.putInt(huge, 0, -1);
-        assertRefused("over the limit", huge);
-        assertRefused("clock NaN", frame(Double.NaN, none));
-        assertRefused("clock 1.0 after 2.0", concat(frame(2, none), frame(1, none)));
-    }
+  @Test
+  void badFramesEndTheRunWithAMessage() {
+    byte[] none = new byte[0];
+    assertRefused("inside the header", new byte[5]);
+    assertRefused("input ends after", Arrays.copyOf(opening(), 60));
+    byte[] records = new byte[WireHost.HEADER_BYTES];
+    LittleEndian.putInt(records, 4, 7);
+    assertRefused("7 records do not fit", records);
+    byte[] huge = new byte[WireHost.HEADER_BYTES];
+    LittleEndian.putInt(huge, 0, -1);
+    assertRefused("over the limit", huge);
+    assertRefused("clock NaN", frame(Double.NaN, none));
+    assertRefused("clock 1.0 after 2.0", concat(frame(2, none), frame(1, none)));
+  }
 
-    @Test
-    void badRecordsEndTheRunWithAMessage() {
-        byte[] none = new byte[0];
-        assertRefused("unknown event code 11", concat(opening(), frame(10_001, none, record(11, INSTANCE))));
-        assertRefused("unknown instance 4", concat(opening(), frame(10_001, none, record(6, 4))));
-        byte[] number = record(10, 0);
-        LittleEndian.putShort(number, 1, 16);
-        assertRefused("list number 16", frame(1, none, number));
-        byte[] never = record(1, INSTANCE);
-        LittleEndian.putShort(never, 10, 5);
-        assertRefused("list 5 was never given", concat(opening(), frame(10_001, none, never)));
-        byte[] offset = record(10, 0);
-        LittleEndian.putInt(offset, 3, 4);
-        LittleEndian.putInt(offset, 7, 1);
-        assertRefused("leaves the tail", frame(1, entry(UPSTREAM), offset));
-        assertRefused("unknown outcome 11", concat(opening(), frame(10_001, none, finished(1, 11))));
-        byte[] serviceClass = incoming(1);
-        serviceClass[13] = 9;
-        assertRefused("unknown class 9", concat(opening(), frame(10_001, none, serviceClass)));
-    }
+  @Test
+  void badRecordsEndTheRunWithAMessage() {
+    byte[] none = new byte[0];
+    assertRefused(
+        "unknown event code 11", concat(opening(), frame(10_001, none, record(11, INSTANCE))));
+    assertRefused("unknown instance 4", concat(opening(), frame(10_001, none, record(6, 4))));
+    byte[] number = record(10, 0);
+    LittleEndian.putShort(number, 1, 16);
+    assertRefused("list number 16", frame(1, none, number));
+    byte[] never = record(1, INSTANCE);
+    LittleEndian.putShort(never, 10, 5);
+    assertRefused("list 5 was never given", concat(opening(), frame(10_001, none, never)));
+    byte[] offset = record(10, 0);
+    LittleEndian.putInt(offset, 3, 4);
+    LittleEndian.putInt(offset, 7, 1);
+    assertRefused("leaves the tail", frame(1, entry(UPSTREAM), offset));
+    assertRefused("unknown outcome 11", concat(opening(), frame(10_001, none, finished(1, 11))));
+    byte[] serviceClass = incoming(1);
+    serviceClass[13] = 9;
+    assertRefused("unknown class 9", concat(opening(), frame(10_001, none, serviceClass)));
+  }
 
-    @Test
-    void anotherCommandLineGetsUsage() {
-        Run run = run(new byte[0], "serve");
-        assertEquals(2, run.status);
-        assertTrue(run.err.startsWith("usage: "));
-        assertEquals(2, run(new byte[0], new String[0]).status);
-    }
+  @Test
+  void anotherCommandLineGetsUsage() {
+    Run run = run(new byte[0], "serve");
+    assertEquals(2, run.status);
+    assertTrue(run.err.startsWith("usage: "));
+    assertEquals(2, run(new byte[0], new String[0]).status);
+  }
 
-    @Test
-    void mutatedFramesEndInAReplyOrAPlainMessage() throws IOException {
-        byte[] good = concat(opening(), frame(10_005, new byte[0], incoming(1), incoming(2)),
-                frame(10_025, new byte[0], finished(1, 10), finished(2, 20)));
-        SplittableRandom random = new SplittableRandom(20261128);
-        int refused = 0;
-        for (int i = 0; i < 4_000; i++) {
-            byte[] bad = good.clone();
-            for (int flips = random.nextInt(1, 4); flips > 0; flips--) {
-                bad[random.nextInt(bad.length)] = (byte) random.nextInt();
-            }
-            byte[] input = random.nextInt(4) == 0
-                    ? Arrays.copyOf(bad, random.nextInt(bad.length)) : bad;
-            Run run = run(input);
-            assertTrue(run.status == 0 || run.status == 1);
-            if (run.status == 1) {
-                refused++;
-                assertTrue(run.err.startsWith("cranedeal: "), run.err);
-                assertFalse(run.err.contains("\tat "), run.err);
-            } else {
-                assertEquals("", run.err);
-            }
-        }
-        assertTrue(refused > 500, refused + " refused");
+  @Test
+  void mutatedFramesEndInAReplyOrAPlainMessage() throws IOException {
+    byte[] good =
+        concat(
+            opening(),
+            frame(10_005, new byte[0], incoming(1), incoming(2)),
+            frame(10_025, new byte[0], finished(1, 10), finished(2, 20)));
+    SplittableRandom random = new SplittableRandom(20261128);
+    int refused = 0;
+    for (int i = 0; i < 4_000; i++) {
+      byte[] bad = good.clone();
+      for (int flips = random.nextInt(1, 4); flips > 0; flips--) {
+        bad[random.nextInt(bad.length)] = (byte) random.nextInt();
+      }
+      byte[] input = random.nextInt(4) == 0 ? Arrays.copyOf(bad, random.nextInt(bad.length)) : bad;
+      Run run = run(input);
+      assertTrue(run.status == 0 || run.status == 1);
+      if (run.status == 1) {
+        refused++;
+        assertTrue(run.err.startsWith("cranedeal: "), run.err);
+        assertFalse(run.err.contains("\tat "), run.err);
+      } else {
+        assertEquals("", run.err);
+      }
     }
+    assertTrue(refused > 500, refused + " refused");
+  }
 }
