--- a/src/main/java/cranedeal/node/ClientConnection.java
+++ b/src/main/java/cranedeal/node/ClientConnection.java
@@ -29,7 +29,8 @@
 import java.util.concurrent.TimeUnit;
 
 /** One caller's connection: one request at a time, those sent ahead wait for their turn. */
-final class ClientConnection extends ChannelInboundHandlerAdapter implements Exchange.Caller {
+final class ClientConnection extends ChannelInboundHandlerAdapter
+    implements RequestDispatcher.Responder {
 
   /** Requests that a connection may send ahead of their turn. */
   private static final int MAX_AHEAD = 16;
@@ -72,7 +73,7 @@
   private record Arrived(FullHttpRequest request, double at) {}
 
   private final Frontend frontend;
-  private final Node node;
+  private final RequestDispatcher node;
   private final EventLoopMonitor monitor;
   private final Channel channel;
   private final Decoder decoder = new Decoder(this);
@@ -91,7 +92,7 @@
   /** The request at work; the exchange is known once the node has it. */
   private FullHttpRequest current;
 
-  private Exchange exchange;
+  private RequestDispatcher.DispatchedRequest exchange;
   private String txn;
 
   /** When it may have come, and in which iteration of the loop it was let in. */
@@ -115,7 +116,8 @@
   /** All bytes that came. */
   private long received;
 
-  ClientConnection(Frontend frontend, Node node, EventLoopMonitor monitor, Channel channel) {
+  ClientConnection(
+      Frontend frontend, RequestDispatcher node, EventLoopMonitor monitor, Channel channel) {
     this.frontend = frontend;
     this.node = node;
     this.monitor = monitor;
@@ -267,12 +269,12 @@
   }
 
   private void append(ByteBuf part) throws BadRequestException {
-    if (body.readableBytes() + part.readableBytes() > UpstreamClient.MAX_BODY) {
+    if (body.readableBytes() + part.readableBytes() > ProtocolHeaders.MAX_BODY_BYTES) {
       throw RequestCheck.tooLarge();
     }
     if (part.isReadable()) {
       if (body == Unpooled.EMPTY_BUFFER) {
-        body = channel.alloc().buffer(part.readableBytes(), UpstreamClient.MAX_BODY);
+        body = channel.alloc().buffer(part.readableBytes(), ProtocolHeaders.MAX_BODY_BYTES);
       }
       body.writeBytes(part);
     }
@@ -390,11 +392,13 @@
         }
       }
       if (frontend.atWork(template.txn()) != null) {
-        throw new BadRequestException(HttpResponseStatus.CONFLICT, "X-Txn is at work");
+        throw new BadRequestException(
+            HttpResponseStatus.CONFLICT, ProtocolHeaders.REQUEST_ID + " is at work");
       }
       txn = template.txn();
       frontend.startWork(txn, this);
-      Exchange begun = node.request(template::withId, request.retain(), this);
+      RequestDispatcher.DispatchedRequest begun =
+          node.dispatch(template::withId, request.retain(), this);
       // The answer may have come already, and with it the next request.
       if (begun.isOpen()) {
         exchange = begun;
@@ -421,7 +425,7 @@
     FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
     response.headers().set("Content-Length", content.readableBytes());
     if (retryAfter > 0) {
-      response.headers().set("Retry-After", UpstreamClient.seconds(Math.ceil(retryAfter)));
+      response.headers().set("Retry-After", ProtocolHeaders.formatSeconds(Math.ceil(retryAfter)));
     }
     boolean wantsMore = current != null && HttpUtil.isKeepAlive(current);
     // What has come whole already was taken, and is still answered here.
@@ -466,10 +470,10 @@
   }
 
   private void abandon() {
-    Exchange left = exchange;
+    RequestDispatcher.DispatchedRequest left = exchange;
     finish();
     if (left != null) {
-      node.clientGone(left);
+      left.clientDisconnected();
     }
   }
 
@@ -518,7 +522,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      Node.LOG.warning("a caller's connection failed: " + cause);
+      ProxyLogger.LOGGER.warning("a caller's connection failed: " + cause);
     }
     ctx.close();
   }
--- a/src/main/java/cranedeal/node/Discovery.java
+++ b/src/main/java/cranedeal/node/Discovery.java
@@ -254,7 +254,7 @@
         listener.told(roster.full() ? Change.FULL : Change.DELTA, roster);
         version = roster.version();
       } catch (RuntimeException e) {
-        Node.LOG.log(Level.SEVERE, "a list of upstreams could not be taken in", e);
+        ProxyLogger.LOGGER.log(Level.SEVERE, "a list of upstreams could not be taken in", e);
         failed = true;
         version = UNTOLD;
       }
@@ -356,7 +356,7 @@
       try {
         roster = read(response);
       } catch (IOException | IllegalArgumentException e) {
-        Node.LOG.warning("discovery's answer is of no use: " + e.getMessage());
+        ProxyLogger.LOGGER.warning("discovery's answer is of no use: " + e.getMessage());
         fail();
         return;
       }
@@ -408,7 +408,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       if (!(cause instanceof IOException)) {
-        Node.LOG.warning("the connection to discovery failed: " + cause);
+        ProxyLogger.LOGGER.warning("the connection to discovery failed: " + cause);
       }
       if (asked != null) {
         asked.fail();
--- a/src/main/java/cranedeal/node/Exchange.java
+++ b/src/main/java/cranedeal/node/Exchange.java
@@ -7,25 +7,10 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.concurrent.Future;
+import java.util.function.Consumer;
 
 /** A request from its arrival until it has its one answer and none of its attempts is out. */
-final class Exchange {
-
-  /** Who waits for the answer. */
-  interface Caller {
-
-    /**
-     * Writes the answer; called once at most. The body is not to be kept; {@code retryAfter} in ms
-     * is when to come back, 0 for no advice.
-     */
-    void answer(HttpResponseStatus status, ByteBuf body, double retryAfter);
-
-    /**
-     * Whether the client has not left yet, by all that the kernel knows now; the node may lag
-     * behind.
-     */
-    boolean waits();
-  }
+final class Exchange implements RequestDispatcher.DispatchedRequest {
 
   final long id;
   final FullHttpRequest request;
@@ -40,19 +25,32 @@
 
   int running;
   Future<?> overdue;
-  private Caller caller;
+  private final Consumer<Exchange> onClientDisconnected;
+  private RequestDispatcher.Responder caller;
 
-  Exchange(long id, FullHttpRequest request, double deadline, Caller caller) {
+  Exchange(
+      long id,
+      FullHttpRequest request,
+      double deadline,
+      RequestDispatcher.Responder caller,
+      Consumer<Exchange> onClientDisconnected) {
     this.id = id;
     this.request = request;
     this.deadline = deadline;
     this.caller = caller;
+    this.onClientDisconnected = onClientDisconnected;
   }
 
-  boolean isOpen() {
+  @Override
+  public boolean isOpen() {
     return caller != null;
   }
 
+  @Override
+  public void clientDisconnected() {
+    onClientDisconnected.accept(this);
+  }
+
   /** Whether a client waits for an answer and has not left just now, which is yet to be told. */
   boolean isAwaited() {
     return caller != null && caller.waits();
@@ -60,7 +58,7 @@
 
   /** Answers unless that is done already or nobody waits any more; tells whether it did. */
   boolean answer(HttpResponseStatus status, ByteBuf body, double retryAfter) {
-    Caller waiting = caller;
+    RequestDispatcher.Responder waiting = caller;
     if (waiting == null) {
       return false;
     }
--- a/src/main/java/cranedeal/node/Frontend.java
+++ b/src/main/java/cranedeal/node/Frontend.java
@@ -39,7 +39,7 @@
   private final NodeConfig config;
   private final Sockets sockets;
   private final ByteBufAllocator memory;
-  private final Node node;
+  private final RequestDispatcher node;
   private final EventLoopMonitor monitor;
   private final RequestCheck check;
 
@@ -61,7 +61,7 @@
       NodeConfig config,
       Sockets sockets,
       ByteBufAllocator memory,
-      Node node,
+      RequestDispatcher node,
       EventLoopMonitor monitor) {
     this.loop = loop;
     this.config = config;
@@ -190,7 +190,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       ctx.channel().config().setAutoRead(false);
-      Node.LOG.warning("a caller could not be let in: " + cause);
+      ProxyLogger.LOGGER.warning("a caller could not be let in: " + cause);
     }
   }
 
--- a/src/main/java/cranedeal/node/HollowBalancer.java
+++ b/src/main/java/cranedeal/node/HollowBalancer.java
@@ -244,7 +244,7 @@
 
   @Override
   public void log(String text) {
-    Node.LOG.info(text);
+    ProxyLogger.LOGGER.info(text);
   }
 
   private static IllegalStateException noCallers() {
--- a/src/main/java/cranedeal/node/Main.java
+++ b/src/main/java/cranedeal/node/Main.java
@@ -35,7 +35,7 @@
     } catch (ConfigException e) {
       exit("sablehinge: " + e.getMessage(), 1);
     } catch (IllegalStateException e) {
-      Node.LOG.info("ends before it has begun to serve");
+      ProxyLogger.LOGGER.info("ends before it has begun to serve");
     }
     // The node's own threads are daemons, so that the end of the shutdown hook ends the process.
     new CountDownLatch(1).await();
@@ -87,7 +87,8 @@
                     Node node = started.join();
                     node.reload(NodeConfig.read(System.getenv("PROXY_CONFIG")));
                   } catch (ConfigException | RuntimeException e) {
-                    Node.LOG.warning("the configuration stays as it was: " + e.getMessage());
+                    ProxyLogger.LOGGER.warning(
+                        "the configuration stays as it was: " + e.getMessage());
                   }
                 }));
   }
--- a/src/main/java/cranedeal/node/Node.java
+++ b/src/main/java/cranedeal/node/Node.java
@@ -30,16 +30,13 @@
 import java.util.function.BiFunction;
 import java.util.function.Function;
 import java.util.logging.Level;
-import java.util.logging.Logger;
 
 /**
  * One balancer: owns the decision module, tells it what happens on the sockets and carries out what
  * it asks for. It decides nothing itself. All of it runs on one event loop thread, so nothing is
  * locked.
  */
-final class Node implements LoadBalancer.Actions {
-
-  static final Logger LOG = Logger.getLogger("sablehinge");
+final class Node implements LoadBalancer.Actions, RequestDispatcher {
 
   /** Netty's pool of direct memory: one arena, as there is one thread, in chunks of 512 KiB. */
   private static final int PAGE = 8_192;
@@ -115,7 +112,7 @@
     this.monitor = monitor;
     // Written by the loop and, of a reload, by one more thread: a count may be off, which does no
     // harm.
-    LOG.setFilter(new LogLimit(clock::now));
+    ProxyLogger.LOGGER.setFilter(new LogLimit(clock::now));
     PooledByteBufAllocator memory =
         new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, CACHED, CACHED, false);
     Sockets sockets = new Sockets(config.sockets());
@@ -156,7 +153,7 @@
     loop.submit(node::begin).sync();
     if (!config.settings().subscribe()
         && !node.untold.await(firstNewsMillis, TimeUnit.MILLISECONDS)) {
-      LOG.warning("discovery says nothing: the known list has to do");
+      ProxyLogger.LOGGER.warning("discovery says nothing: the known list has to do");
     }
     return node;
   }
@@ -165,7 +162,7 @@
   void serve() throws ConfigException, InterruptedException {
     frontend.bind();
     // The first line loads what logging needs, which later, with no descriptor left, would fail.
-    LOG.info("serves as " + config.name());
+    ProxyLogger.LOGGER.info("serves as " + config.name());
   }
 
   private void begin() {
@@ -184,7 +181,7 @@
   private void reportLateness() {
     EventLoopMonitor.Report report = monitor.report();
     if (report.max() > LATE_MS) {
-      LOG.info(
+      ProxyLogger.LOGGER.info(
           "the event loop was late: its "
               + report.iterations()
               + " iterations took up to "
@@ -310,7 +307,7 @@
 
   /** A call of the module broke off: what it was about fails, as nobody knows what has run. */
   private void broken(Exchange about, Throwable cause) {
-    LOG.log(Level.SEVERE, "the decision module failed", cause);
+    ProxyLogger.LOGGER.log(Level.SEVERE, "the decision module failed", cause);
     if (about != null && about.isOpen()) {
       fail(about, HttpResponseStatus.INTERNAL_SERVER_ERROR);
     }
@@ -348,10 +345,12 @@
   }
 
   /** Takes a request in; the node owns a reference to {@code message} from here on. */
-  Exchange request(
-      Function<Long, Request> description, FullHttpRequest message, Exchange.Caller caller) {
+  @Override
+  public DispatchedRequest dispatch(
+      Function<Long, Request> description, FullHttpRequest message, Responder caller) {
     Request request = description.apply(++lastId);
-    Exchange exchange = new Exchange(request.id(), message, request.deadline(), caller);
+    Exchange exchange =
+        new Exchange(request.id(), message, request.deadline(), caller, this::clientGone);
     exchanges.put(exchange.id, exchange);
     double latest = exchange.deadline + config.settings().rules().answerGrace() / 2;
     exchange.overdue =
@@ -363,13 +362,13 @@
   /** The module has left a request without its answer; it must not stay so. */
   private void overdue(Exchange exchange) {
     if (exchange.isOpen()) {
-      LOG.warning("a request was left without an answer");
+      ProxyLogger.LOGGER.warning("a request was left without an answer");
       fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT);
     }
   }
 
   /** The client has closed its connection. */
-  void clientGone(Exchange exchange) {
+  private void clientGone(Exchange exchange) {
     if (exchange.isOpen()) {
       exchange.close();
       tell(exchange, () -> balancer.clientGone(clock.now(), exchange.id));
@@ -400,7 +399,8 @@
         response == null || config.settings().reports() != Reports.PIGGYBACK
             ? null
             : LoadReport.parse(
-                response.headers().get("X-Pressure"), config.settings().reportFields());
+                response.headers().get(ProtocolHeaders.LOAD_REPORT),
+                config.settings().reportFields());
     if (result == Result.OK) {
       exchange.answer(HttpResponseStatus.OK, response.content(), 0);
     }
@@ -427,7 +427,8 @@
     }
   }
 
-  double now() {
+  @Override
+  public double now() {
     return clock.now();
   }
 
@@ -547,11 +548,11 @@
   /** Balancers of this deployment have no way to talk to each other. */
   @Override
   public void tell(int peer, byte[] payload) {
-    LOG.warning("the module wants to talk to its peers, which it can't here");
+    ProxyLogger.LOGGER.warning("the module wants to talk to its peers, which it can't here");
   }
 
   @Override
   public void log(String text) {
-    LOG.info(text);
+    ProxyLogger.LOGGER.info(text);
   }
 }
--- a/src/main/java/cranedeal/node/RequestCheck.java
+++ b/src/main/java/cranedeal/node/RequestCheck.java
@@ -134,7 +134,7 @@
     if (length != null && !DIGITS.matcher(length).matches()) {
       throw new BadRequestException("Content-Length is no length");
     }
-    if (length != null && Long.parseLong(length) > UpstreamClient.MAX_BODY) {
+    if (length != null && Long.parseLong(length) > ProtocolHeaders.MAX_BODY_BYTES) {
       throw tooLarge();
     }
     String expect = single(headers, HttpHeaderNames.EXPECT);
@@ -157,7 +157,7 @@
       throw new BadRequestException("the target is no path");
     }
     HttpHeaders headers = request.headers();
-    String name = single(headers, "X-Lane");
+    String name = single(headers, ProtocolHeaders.REQUEST_CLASS);
     Integer place = classes.get(name);
     if (place == null || !name.equals(firstPart(request.uri()))) {
       throw new BadRequestException("unknown class");
@@ -174,21 +174,21 @@
     if (token(headers, "Idempotency-Key") == null ^ type.repeat() != Repeat.DEDUPLICATED) {
       throw new BadRequestException("the class wants Idempotency-Key otherwise");
     }
-    String txn = token(headers, "X-Txn");
+    String txn = token(headers, ProtocolHeaders.REQUEST_ID);
     if (txn == null) {
-      throw new BadRequestException("X-Txn is missing");
+      throw new BadRequestException(ProtocolHeaders.REQUEST_ID + " is missing");
     }
-    String tenant = single(headers, "X-Org");
+    String tenant = single(headers, ProtocolHeaders.TENANT);
     int tenantIndex =
         config.tenants().isEmpty() || tenant == null ? 0 : config.tenants().indexOf(tenant);
     if (tenantIndex < 0) {
       throw new BadRequestException("unknown tenant");
     }
-    double remaining = number(headers, "X-Remaining");
+    double remaining = number(headers, ProtocolHeaders.REMAINING_TIME);
     if (Double.isNaN(remaining)) {
-      throw new BadRequestException("X-Remaining is missing");
+      throw new BadRequestException(ProtocolHeaders.REMAINING_TIME + " is missing");
     }
-    double estimate = number(headers, "X-Estimate");
+    double estimate = number(headers, ProtocolHeaders.COST_ESTIMATE);
     // No client of this class waits longer, whatever it says; what is kept for it must not stay
     // either.
     return new Template(
@@ -198,7 +198,7 @@
         key(single(headers, "Cookie")),
         arrivedAt + beforeEnd(Math.min(type.deadline(), remaining * MS), lateness),
         Double.isNaN(estimate) ? 0 : estimate / MS,
-        "1".equals(single(headers, "X-Resent")),
+        "1".equals(single(headers, ProtocolHeaders.CLIENT_RETRY)),
         !get);
   }
 
--- a/src/main/java/cranedeal/node/UpstreamClient.java
+++ b/src/main/java/cranedeal/node/UpstreamClient.java
@@ -27,7 +27,6 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import java.io.IOException;
-import java.math.BigDecimal;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -43,25 +42,22 @@
  */
 final class UpstreamClient {
 
-  static final int MAX_BODY = 64 * 1024;
-
   /** The part of an upstream's idle limit after which a connection is closed from this side. */
   private static final double IDLE_SHARE = 0.7;
 
   private static final long SWEEP_MS = 1_000;
-  private static final int MILLI = 3;
 
   /** The headers of a request that go on with it; the rest is a caller's own affair or worse. */
   private static final List<String> PASSED_ON =
       List.of(
-          "X-Txn",
+          ProtocolHeaders.REQUEST_ID,
           "Idempotency-Key",
-          "X-Lane",
-          "X-Org",
+          ProtocolHeaders.REQUEST_CLASS,
+          ProtocolHeaders.TENANT,
           "Cookie",
-          "X-Resent",
-          "X-Estimate",
-          "X-Labels");
+          ProtocolHeaders.CLIENT_RETRY,
+          ProtocolHeaders.COST_ESTIMATE,
+          ProtocolHeaders.LABELS);
 
   /**
    * The part of a drain's grace in which what has waited for its connection is still sent: the news
@@ -143,7 +139,7 @@
                         .addLast(
                             connection.decoder,
                             new HttpRequestEncoder(),
-                            new HttpObjectAggregator(MAX_BODY),
+                            new HttpObjectAggregator(ProtocolHeaders.MAX_BODY_BYTES),
                             connection);
                   }
                 });
@@ -448,7 +444,8 @@
         copy.headers().set("Content-Length", copy.content().readableBytes());
       }
       // Rounded down: the upstream must not take this balancer to be more patient than it is.
-      copy.headers().set("X-Remaining", seconds(until - now));
+      copy.headers()
+          .set(ProtocolHeaders.REMAINING_TIME, ProtocolHeaders.formatSeconds(until - now));
       channel
           .writeAndFlush(copy)
           .addListener(
@@ -513,7 +510,8 @@
       }
       int status = response.status().code();
       boolean turnedAway =
-          (status == 503 || status == 504) && "1".equals(response.headers().get("X-Turned-Away"));
+          (status == 503 || status == 504)
+              && "1".equals(response.headers().get(ProtocolHeaders.REJECTED));
       Result result = turnedAway ? Result.FULL : status == 200 ? Result.OK : Result.ERROR;
       end(result, response);
     }
@@ -549,11 +547,6 @@
     return null;
   }
 
-  /** Whole ms as a decimal number of seconds. */
-  static String seconds(double millis) {
-    return BigDecimal.valueOf((long) millis, MILLI).toPlainString();
-  }
-
   /** A connection to an upstream; it belongs to one attempt at a time. */
   private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse>
       implements UpstreamResponseDecoder.Connection {
--- a/src/main/java/cranedeal/scale/Main.java
+++ b/src/main/java/cranedeal/scale/Main.java
@@ -30,7 +30,7 @@
   private static final int LONGEST_SECONDS = 1_800;
 
   /** Kept, as a logger that nobody holds on to forgets its level. */
-  private static final Logger NODE_LOG = Logger.getLogger("sablehinge");
+  private static final Logger NODE_LOG = Logger.getLogger("loadbalancer");
 
   @Option(
       names = "--limit",
--- a/src/test/java/cranedeal/node/FrontendTest.java
+++ b/src/test/java/cranedeal/node/FrontendTest.java
@@ -563,7 +563,7 @@
   void aBodyOverTheLimitIsTurnedDown() throws Exception {
     try (Stage stage = new Stage().start()) {
       Peer caller = stage.caller();
-      caller.write(Stage.spend("1", "b".repeat(UpstreamClient.MAX_BODY + 1)));
+      caller.write(Stage.spend("1", "b".repeat(ProtocolHeaders.MAX_BODY_BYTES + 1)));
       assertEquals(413, caller.read().status());
       stage.servesStill();
     }
--- a/src/test/java/cranedeal/node/LateLoopTest.java
+++ b/src/test/java/cranedeal/node/LateLoopTest.java
@@ -179,14 +179,14 @@
             // Nothing is open.
           }
         };
-    Node.LOG.addHandler(log);
+    ProxyLogger.LOGGER.addHandler(log);
     try (Stage stage = new Stage().start()) {
       keepBusy(stage, () -> TimeUnit.MILLISECONDS.sleep(LATE_MS));
       Matcher told = Pattern.compile(" and (\\d+) ms at most").matcher(Script.next(lines));
       assertTrue(told.find());
       assertTrue(Integer.parseInt(told.group(1)) >= LATE_MS - CLOCKS_MS, told.group());
     } finally {
-      Node.LOG.removeHandler(log);
+      ProxyLogger.LOGGER.removeHandler(log);
     }
   }
 
--- a/src/test/java/cranedeal/node/UpstreamClientTest.java
+++ b/src/test/java/cranedeal/node/UpstreamClientTest.java
@@ -128,7 +128,7 @@
             upstreams.sendBuffer(4_096);
             return null;
           });
-      String body = "b".repeat(UpstreamClient.MAX_BODY);
+      String body = "b".repeat(ProtocolHeaders.MAX_BODY_BYTES);
       Peer caller = stage.caller();
       caller.write(Stage.spend("1", body));
       Peer upstream = stage.upstreams.get(0).accept();
@@ -151,7 +151,7 @@
             return null;
           });
       Peer caller = stage.caller();
-      caller.write(Stage.spend("1", "b".repeat(UpstreamClient.MAX_BODY)));
+      caller.write(Stage.spend("1", "b".repeat(ProtocolHeaders.MAX_BODY_BYTES)));
       // It reads nothing, so that the request can't be out.
       Peer upstream = stage.upstreams.get(0).accept();
       upstream.write(
@@ -386,7 +386,7 @@
         caller.write(Stage.get("1", "10"));
         Peer upstream = stage.upstreams.get(0).accept();
         upstream.read();
-        String body = "b".repeat(UpstreamClient.MAX_BODY + extra);
+        String body = "b".repeat(ProtocolHeaders.MAX_BODY_BYTES + extra);
         try {
           upstream.write(
               "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: "
