--- a/src/main/java/cranedeal/scale/Arguments.java
+++ b/src/main/java/loadbalancer/benchmark/Arguments.java
@@ -1,4 +1,4 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import java.util.List;
 
@@ -9,7 +9,7 @@
 
   static void within(String name, double value, double least, double most) {
     if (!(value >= least && value <= most)) {
-      throw new ScaleException(
+      throw new BenchmarkException(
           name
               + " has to be from "
               + plain(least)
--- a/src/main/java/cranedeal/scale/RealBalancer.java
+++ b/src/main/java/loadbalancer/benchmark/BalancerProcess.java
@@ -1,4 +1,4 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -21,7 +21,7 @@
  * A balancer started by the words of the deploy file's {@code run}, in a process of its own.
  * Whatever ends the scale run, these processes end with it.
  */
-final class RealBalancer implements AutoCloseable {
+final class BalancerProcess implements AutoCloseable {
 
   /** How long a balancer may take to be ready, by the deployment page. */
   static final double READY_SECONDS = 30;
@@ -62,7 +62,8 @@
     String of(int position, InetSocketAddress listen);
   }
 
-  private RealBalancer(String run, Configuration configuration, int position) throws IOException {
+  private BalancerProcess(String run, Configuration configuration, int position)
+      throws IOException {
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       listen = (InetSocketAddress) free.getLocalSocketAddress();
     }
@@ -81,14 +82,14 @@
   static String run() throws IOException {
     Matcher run = RUN.matcher(Files.exists(DEPLOY) ? Files.readString(DEPLOY) : "");
     if (!run.find()) {
-      throw new ScaleException(
+      throw new BenchmarkException(
           "found no run in " + DEPLOY + ": start it from the root of the project");
     }
     return run.group(1).replace("\\\"", "\"");
   }
 
   /** Starts so many at once and returns once all are ready; one that isn't ends the scale run. */
-  static List<RealBalancer> start(
+  static List<BalancerProcess> start(
       int count, String run, DiscoveryStandIn discovery, long seed, int tier, int zones)
       throws IOException, InterruptedException {
     InetSocketAddress asked = discovery.address(DiscoveryStandIn.REAL);
@@ -99,23 +100,23 @@
   }
 
   /** The same with configurations of the caller's own. */
-  static List<RealBalancer> start(int count, String run, Configuration configuration)
+  static List<BalancerProcess> start(int count, String run, Configuration configuration)
       throws IOException, InterruptedException {
-    List<RealBalancer> balancers = new ArrayList<>();
+    List<BalancerProcess> balancers = new ArrayList<>();
     try {
       for (int i = 0; i < count; i++) {
-        balancers.add(new RealBalancer(run, configuration, i));
+        balancers.add(new BalancerProcess(run, configuration, i));
       }
       boolean waiting = true;
       while (waiting) {
         waiting = false;
-        for (RealBalancer balancer : balancers) {
+        for (BalancerProcess balancer : balancers) {
           waiting |= !balancer.isReady();
         }
         TimeUnit.MILLISECONDS.sleep(LOOK_MS);
       }
     } catch (IOException | InterruptedException | RuntimeException e) {
-      balancers.forEach(RealBalancer::close);
+      balancers.forEach(BalancerProcess::close);
       throw e;
     }
     return balancers;
@@ -128,7 +129,7 @@
     double millis = (System.nanoTime() - startedAt) / NANOS_PER_MS;
     checkAlive();
     if (millis > READY_SECONDS * 1_000) {
-      throw new ScaleException(
+      throw new BenchmarkException(
           "a balancer is not ready after " + READY_SECONDS + " s: " + lastWords());
     }
     try (Socket socket = health()) {
@@ -143,7 +144,7 @@
   /** One that has ended by itself ends the scale run. */
   void checkAlive() throws IOException {
     if (!process.isAlive()) {
-      throw new ScaleException(
+      throw new BenchmarkException(
           "a balancer ended with status " + process.exitValue() + ": " + lastWords());
     }
   }
@@ -221,7 +222,7 @@
       Files.deleteIfExists(config);
       Files.deleteIfExists(log);
     } catch (IOException e) {
-      throw new ScaleException("can't remove " + e.getMessage());
+      throw new BenchmarkException("can't remove " + e.getMessage());
     }
   }
 }
--- a/src/main/java/cranedeal/scale/ScaleException.java
+++ b/src/main/java/loadbalancer/benchmark/BenchmarkException.java
@@ -1,11 +1,11 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 /** A scale run can't start or go on; the message is one plain line for whoever started it. */
-final class ScaleException extends RuntimeException {
+final class BenchmarkException extends RuntimeException {
 
   private static final long serialVersionUID = 1;
 
-  ScaleException(String message) {
+  BenchmarkException(String message) {
     super(message);
   }
 }
--- a/src/main/java/cranedeal/scale/Main.java
+++ b/src/main/java/loadbalancer/benchmark/BenchmarkMain.java
@@ -1,4 +1,4 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
@@ -12,7 +12,7 @@
 
 /** The command line of the scale run. It ends by itself, at the latest when its time is over. */
 @Command(
-    name = "sablehinge-scale",
+    name = "load-balancer-benchmark",
     mixinStandardHelpOptions = true,
     description =
         "Measures how costs grow with lists and fleets; prints a line of JSON for each point.",
@@ -22,7 +22,7 @@
       ProcessesCommand.class,
       FitCommand.class
     })
-public final class Main implements Runnable {
+public final class BenchmarkMain implements Runnable {
 
   private static final int BAD_ARGUMENTS = 2;
   private static final int FAILED = 1;
@@ -41,7 +41,7 @@
 
   @Spec private CommandSpec spec;
 
-  private Main() {}
+  private BenchmarkMain() {}
 
   /**
    * Runs the subcommand that the arguments name; whatever it started has ended when this returns.
@@ -53,17 +53,17 @@
   /** The exit status: 0, 1 for a run that failed, 2 for arguments that are amiss. */
   static int run(String... args) {
     NODE_LOG.setLevel(Level.SEVERE);
-    Main main = new Main();
+    BenchmarkMain main = new BenchmarkMain();
     CommandLine line = new CommandLine(main);
     line.setParameterExceptionHandler((e, given) -> say(e.getMessage(), BAD_ARGUMENTS));
     line.setExecutionExceptionHandler(
         (e, command, parsed) ->
-            say(e instanceof ScaleException ? e.getMessage() : e.toString(), FAILED));
+            say(e instanceof BenchmarkException ? e.getMessage() : e.toString(), FAILED));
     line.setExecutionStrategy(
         parsed -> {
           try {
             Arguments.within("--limit", main.limit, 1, LONGEST_SECONDS);
-          } catch (ScaleException e) {
+          } catch (BenchmarkException e) {
             return say(e.getMessage(), BAD_ARGUMENTS);
           }
           main.endInTime();
@@ -96,7 +96,7 @@
 
   private static int say(String message, int status) {
     System.err.println(
-        "sablehinge-scale: " + String.valueOf(message).lines().findFirst().orElse(""));
+        "load-balancer-benchmark: " + String.valueOf(message).lines().findFirst().orElse(""));
     return status;
   }
 }
--- a/src/main/java/cranedeal/scale/CallsCommand.java
+++ b/src/main/java/loadbalancer/benchmark/CallsCommand.java
@@ -1,14 +1,13 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import com.sun.management.ThreadMXBean;
-import cranedeal.LoadBalancer.Upstream;
-import cranedeal.node.HollowBalancer;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.Callable;
+import loadbalancer.model.Endpoint;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
@@ -89,15 +88,15 @@
         .put("tier", tier)
         .put("rate", rate)
         .put("batch_ms", batchMillis);
-    HollowBalancer.Template template =
-        HollowBalancer.Template.parse(
+    SimulatedBalancer.Template template =
+        SimulatedBalancer.Template.parse(
             Fleet.config(NOWHERE, NOWHERE, deployment.seed, length, tier, deployment.zones));
     byte[] body =
         Fleet.list(1, true, Fleet.entries(length, deployment.zones))
             .getBytes(StandardCharsets.US_ASCII);
-    List<Upstream> list = template.list(body);
+    List<Endpoint> list = template.list(body);
     count(point, template, list);
-    ModuleRun run = new ModuleRun(template.settings(), list, rate, deployment.seed);
+    PolicyRun run = new PolicyRun(template.settings(), list, rate, deployment.seed);
     time(point, "call", run::call);
     time(point, "change", run::change);
     time(point, "no_news", run::noNews);
@@ -115,15 +114,15 @@
     // Of its own: while changes were timed, the calls that were out have become late.
     point.results.put(
         "reached",
-        new ModuleRun(template.settings(), list, rate, deployment.seed).reached(IDLE_MS));
+        new PolicyRun(template.settings(), list, rate, deployment.seed).reached(IDLE_MS));
     point.results.put("list_bytes", body.length);
     return point;
   }
 
   /** What doesn't depend on the machine. */
-  static void count(Point point, HollowBalancer.Template template, List<Upstream> list) {
-    ModuleRun.Looks looks = new ModuleRun.Looks();
-    ModuleRun run = new ModuleRun(ModuleRun.counted(template.settings(), looks), list, 147, 1);
+  static void count(Point point, SimulatedBalancer.Template template, List<Endpoint> list) {
+    PolicyRun.Looks looks = new PolicyRun.Looks();
+    PolicyRun run = new PolicyRun(PolicyRun.counted(template.settings(), looks), list, 147, 1);
     for (int i = 0; i < COUNTED_CALLS; i++) {
       run.call();
     }
--- a/src/main/java/cranedeal/scale/ControlCommand.java
+++ b/src/main/java/loadbalancer/benchmark/ControlCommand.java
@@ -1,10 +1,7 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import cranedeal.node.HollowBalancer;
-import cranedeal.scale.Fleet.Entry;
-import cranedeal.scale.Traffic.Kind;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.lang.management.ManagementFactory;
@@ -15,6 +12,8 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntPredicate;
+import loadbalancer.benchmark.Fleet.Entry;
+import loadbalancer.benchmark.Traffic.Kind;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
@@ -100,8 +99,8 @@
 
   private PrintStream out = System.out;
   private DiscoveryStandIn discovery;
-  private HollowFleet fleet;
-  private List<RealBalancer> reals = List.of();
+  private SimulatedFleet fleet;
+  private List<BalancerProcess> reals = List.of();
   private final Propagation hollowTakings = new Propagation();
   private final Propagation realTakings = new Propagation();
   private List<Entry> entries;
@@ -142,8 +141,8 @@
     entries = new ArrayList<>(Fleet.entries(list, deployment.zones));
     discovery = new DiscoveryStandIn(entries, new Stamps());
     try {
-      HollowBalancer.Template template =
-          HollowBalancer.Template.parse(
+      SimulatedBalancer.Template template =
+          SimulatedBalancer.Template.parse(
               Fleet.config(
                   discovery.address(DiscoveryStandIn.HOLLOW),
                   discovery.address(DiscoveryStandIn.HOLLOW),
@@ -151,16 +150,16 @@
                   balancers,
                   tier,
                   deployment.zones));
-      fleet = new HollowFleet(template, balancers, loops, deployment.seed, hollowTakings);
+      fleet = new SimulatedFleet(template, balancers, loops, deployment.seed, hollowTakings);
       reals =
-          RealBalancer.start(
-              real, RealBalancer.run(), discovery, deployment.seed, tier, deployment.zones);
+          BalancerProcess.start(
+              real, BalancerProcess.run(), discovery, deployment.seed, tier, deployment.zones);
       phases();
     } finally {
       if (fleet != null) {
         fleet.close();
       }
-      reals.forEach(RealBalancer::close);
+      reals.forEach(BalancerProcess::close);
       discovery.close();
     }
     return 0;
@@ -373,7 +372,7 @@
 
   private double realCpu() throws IOException {
     double sum = 0;
-    for (RealBalancer balancer : reals) {
+    for (BalancerProcess balancer : reals) {
       sum += balancer.cpuMillis();
     }
     return sum;
--- a/src/main/java/cranedeal/scale/DeploymentOptions.java
+++ b/src/main/java/loadbalancer/benchmark/DeploymentOptions.java
@@ -1,4 +1,4 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import picocli.CommandLine.Option;
 
@@ -13,7 +13,7 @@
   @Option(names = "--seed", defaultValue = "1", description = "Seed (default ${DEFAULT-VALUE}).")
   long seed;
 
-  /** Throws {@link ScaleException} if a value is out of bounds. */
+  /** Throws {@link BenchmarkException} if a value is out of bounds. */
   void check() {
     Arguments.within("--zones", zones, 1, MOST_ZONES);
   }
--- a/src/main/java/cranedeal/scale/DiscoveryStandIn.java
+++ b/src/main/java/loadbalancer/benchmark/DiscoveryStandIn.java
@@ -1,7 +1,5 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
-import cranedeal.scale.Fleet.Entry;
-import cranedeal.scale.Traffic.Kind;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -39,6 +37,8 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.benchmark.Fleet.Entry;
+import loadbalancer.benchmark.Traffic.Kind;
 
 /**
  * Stands in for discovery on loopback, as the protocol page has it: the whole list, a watch with
--- a/src/main/java/cranedeal/scale/FitCommand.java
+++ b/src/main/java/loadbalancer/benchmark/FitCommand.java
@@ -1,4 +1,4 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
@@ -43,7 +43,7 @@
     Map<Long, List<double[]>> runs = new TreeMap<>();
     for (Path file : files) {
       if (!Files.isReadable(file)) {
-        throw new ScaleException("can't read " + file);
+        throw new BenchmarkException("can't read " + file);
       }
       for (String line : Files.readAllLines(file)) {
         JsonNode point = Point.JSON.readTree(line);
@@ -58,7 +58,7 @@
       }
     }
     if (runs.isEmpty()) {
-      throw new ScaleException("no point has " + x + " and " + y);
+      throw new BenchmarkException("no point has " + x + " and " + y);
     }
     System.out.println(describe(runs));
     return 0;
@@ -119,7 +119,7 @@
   private static boolean holds(JsonNode point, String wanted) {
     int equals = wanted.indexOf('=');
     if (equals < 0) {
-      throw new ScaleException("--where wants name=value, not " + wanted);
+      throw new BenchmarkException("--where wants name=value, not " + wanted);
     }
     return at(point, wanted.substring(0, equals)).asText().equals(wanted.substring(equals + 1));
   }
--- a/src/main/java/cranedeal/scale/Fleet.java
+++ b/src/main/java/loadbalancer/benchmark/Fleet.java
@@ -1,4 +1,4 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/src/main/java/cranedeal/scale/LeastSquares.java
+++ b/src/main/java/loadbalancer/benchmark/LeastSquares.java
@@ -1,4 +1,4 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 /**
  * A straight line through points, y = intercept + slope * x, and which part of y's variance it
@@ -6,7 +6,7 @@
  */
 record LeastSquares(double slope, double intercept, double r2) {
 
-  /** Throws {@link ScaleException} where the points have fewer than two different x. */
+  /** Throws {@link BenchmarkException} where the points have fewer than two different x. */
   static LeastSquares fit(double[] x, double[] y) {
     int n = x.length;
     double meanX = 0;
@@ -24,7 +24,7 @@
       yy += (y[i] - meanY) * (y[i] - meanY);
     }
     if (xx == 0) {
-      throw new ScaleException("a slope needs two different sizes at least");
+      throw new BenchmarkException("a slope needs two different sizes at least");
     }
     double slope = xy / xx;
     return new LeastSquares(slope, meanY - slope * meanX, yy == 0 ? 1 : slope * xy / yy);
--- a/src/main/java/cranedeal/scale/Machine.java
+++ b/src/main/java/loadbalancer/benchmark/Machine.java
@@ -1,4 +1,4 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.sun.management.OperatingSystemMXBean;
@@ -26,7 +26,7 @@
     long taken = Runtime.getRuntime().maxMemory() / MB + real * REAL_MB;
     long half = system.getTotalMemorySize() / MB / 2;
     if (taken > half) {
-      throw new ScaleException(
+      throw new BenchmarkException(
           "would take up to "
               + taken
               + " MB, over half of the machine's memory ("
@@ -34,11 +34,11 @@
               + " MB): give it a smaller -Xmx or fewer real balancers");
     }
     if (real > MOST_REAL) {
-      throw new ScaleException(real + " real balancers are over the bound of " + MOST_REAL);
+      throw new BenchmarkException(real + " real balancers are over the bound of " + MOST_REAL);
     }
     if (system instanceof com.sun.management.UnixOperatingSystemMXBean unix
         && sockets > unix.getMaxFileDescriptorCount()) {
-      throw new ScaleException(
+      throw new BenchmarkException(
           "needs " + sockets + " descriptors and may have " + unix.getMaxFileDescriptorCount());
     }
   }
--- a/src/main/java/cranedeal/scale/ModuleRun.java
+++ b/src/main/java/loadbalancer/benchmark/PolicyRun.java
@@ -1,27 +1,27 @@
-package cranedeal.scale;
-
-import cranedeal.LatencyWeightedBalancer;
-import cranedeal.LoadBalancer;
-import cranedeal.LoadBalancer.Change;
-import cranedeal.LoadBalancer.Outcome;
-import cranedeal.LoadBalancer.Request;
-import cranedeal.LoadBalancer.Result;
-import cranedeal.LoadBalancer.ServiceClass;
-import cranedeal.LoadBalancer.Settings;
-import cranedeal.LoadBalancer.State;
-import cranedeal.LoadBalancer.Upstream;
+package loadbalancer.benchmark;
+
 import java.util.AbstractList;
 import java.util.ArrayDeque;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
+import loadbalancer.model.AttemptOutcome;
+import loadbalancer.model.AttemptResult;
+import loadbalancer.model.ClientRequest;
+import loadbalancer.model.Endpoint;
+import loadbalancer.model.EndpointState;
+import loadbalancer.model.EndpointUpdateType;
+import loadbalancer.model.PolicySettings;
+import loadbalancer.policy.LatencyWeightedPolicy;
+import loadbalancer.policy.LoadBalancingPolicy;
+import loadbalancer.policy.PolicyActions;
 
 /**
  * The module by itself in virtual time, with calls that are all served and changes of one entry.
  * Counts what it does; whoever measures its processor time does so around these methods.
  */
-final class ModuleRun implements LoadBalancer.Actions {
+final class PolicyRun implements PolicyActions {
 
   private static final double LEAST_LATENCY_MS = 5;
   private static final double LATENCY_SPREAD_MS = 10;
@@ -32,9 +32,9 @@
 
   private record Sent(long request, long upstream, double at, double dueAt) {}
 
-  private final List<Upstream> list;
-  private final Settings settings;
-  private final LoadBalancer balancer;
+  private final List<Endpoint> list;
+  private final PolicySettings settings;
+  private final LoadBalancingPolicy balancer;
   private final SplittableRandom random;
   private final double gap;
   private final ArrayDeque<Sent> out = new ArrayDeque<>();
@@ -55,12 +55,12 @@
    * With calls at a rate a second, which decides how often evidence fades and how many are in
    * flight.
    */
-  ModuleRun(Settings settings, List<Upstream> list, double rate, long seed) {
+  PolicyRun(PolicySettings settings, List<Endpoint> list, double rate, long seed) {
     this.settings = settings;
     this.list = list;
     gap = MS / rate;
     random = new SplittableRandom(seed);
-    balancer = new LatencyWeightedBalancer(this);
+    balancer = new LatencyWeightedPolicy(this);
     balancer.start(now, settings, seed);
     whole();
   }
@@ -69,49 +69,9 @@
    * The same settings with classes whose placement allows everything and tells how often it is
    * asked.
    */
-  static Settings counted(Settings s, Looks looks) {
-    List<ServiceClass> classes =
-        s.classes().stream()
-            .map(
-                c ->
-                    new ServiceClass(
-                        c.name(),
-                        c.aim(),
-                        c.aimStretch(),
-                        c.deadline(),
-                        c.worth(),
-                        c.lateWorth(),
-                        c.repeat(),
-                        c.group(),
-                        c.memory(),
-                        c.streamed(),
-                        c.inOrder(),
-                        looks,
-                        null))
-            .toList();
-    return new Settings(
-        s.position(),
-        s.siblings(),
-        s.tier(),
-        s.tiers(),
-        s.zone(),
-        s.zones(),
-        s.kinds(),
-        s.subscribe(),
-        s.passesDeadline(),
-        s.warmKeys(),
-        s.retriesMarked(),
-        s.worthByWork(),
-        s.overShareWorth(),
-        s.weightKind(),
-        s.reports(),
-        s.reportFields(),
-        classes,
-        s.tenants(),
-        s.limits(),
-        s.rules(),
-        s.goal(),
-        s.prices());
+  static PolicySettings counted(PolicySettings s, Looks looks) {
+    return s.withRequestClasses(
+        s.requestClasses().stream().map(c -> c.withPlacement(looks, null)).toList());
   }
 
   /** A placement of all zones; each time it is asked, the module looks at a server for a call. */
@@ -147,23 +107,24 @@
       Sent sent = out.pollFirst();
       balancer.attemptFinished(
           now,
-          new Outcome(sent.request(), 0, sent.upstream(), Result.OK, true, now - sent.at(), null));
+          new AttemptResult(
+              sent.request(), 0, sent.upstream(), AttemptOutcome.OK, true, now - sent.at(), null));
     }
     // Their calls are over by the time they ring in earnest, and all that is left of them is a
     // look-up.
     long oldest = out.isEmpty() ? lastId + 1 : out.peekFirst().request();
     while (!timers.isEmpty() && timers.peekFirst() >>> TOKEN_BITS < oldest) {
-      balancer.timer(now, timers.pollFirst());
+      balancer.timerExpired(now, timers.pollFirst());
     }
-    int serviceClass = random.nextInt(settings.classes().size());
-    balancer.request(
+    int serviceClass = random.nextInt(settings.requestClasses().size());
+    balancer.requestArrived(
         now,
-        new Request(
+        new ClientRequest(
             ++lastId,
             serviceClass,
             0,
             0,
-            now + settings.classes().get(serviceClass).deadline(),
+            now + settings.requestClasses().get(serviceClass).deadlineMillis(),
             0,
             false,
             false));
@@ -174,10 +135,12 @@
     now += gap;
     if (flipped < 0) {
       flipped = random.nextInt(list.size());
-      balancer.upstreamsChanged(
-          now, Change.DELTA, List.of(with(list.get(flipped), State.DRAINING)));
+      balancer.endpointsChanged(
+          now,
+          EndpointUpdateType.DELTA,
+          List.of(list.get(flipped).withState(EndpointState.DRAINING)));
     } else {
-      balancer.upstreamsChanged(now, Change.DELTA, List.of(list.get(flipped)));
+      balancer.endpointsChanged(now, EndpointUpdateType.DELTA, List.of(list.get(flipped)));
       flipped = -1;
     }
   }
@@ -185,13 +148,13 @@
   /** A watch ends without news. */
   void noNews() {
     now += gap;
-    balancer.upstreamsChanged(now, Change.DELTA, List.of());
+    balancer.endpointsChanged(now, EndpointUpdateType.DELTA, List.of());
   }
 
   /** The whole list comes, as at a resync. */
   void whole() {
     now += gap;
-    balancer.upstreamsChanged(now, Change.FULL, list);
+    balancer.endpointsChanged(now, EndpointUpdateType.FULL, list);
   }
 
   /** The servers that calls of so many ms go to, each of which holds a connection by then. */
@@ -213,12 +176,8 @@
     return timersSet;
   }
 
-  private static Upstream with(Upstream u, State state) {
-    return new Upstream(u.id(), u.zone(), u.kind(), u.cell(), state, u.weight(), u.startedAt());
-  }
-
   @Override
-  public void send(long requestId, long upstream, double timeout) {
+  public void sendAttempt(long requestId, long upstream, double timeout) {
     sends++;
     if (reached != null) {
       reached.add(upstream);
@@ -228,48 +187,48 @@
   }
 
   @Override
-  public void setTimer(long token, double at) {
+  public void scheduleTimer(long token, double at) {
     timersSet++;
     timers.addLast(token);
   }
 
   @Override
-  public void refuse(long requestId, double retryAfter) {
+  public void reject(long requestId, double retryAfter) {
     throw unexpected("a refusal");
   }
 
   @Override
-  public void fail(long requestId) {
+  public void failRequest(long requestId) {
     throw unexpected("a failure");
   }
 
   @Override
-  public void cancel(long requestId, int attempt) {
+  public void cancelAttempt(long requestId, int attempt) {
     throw unexpected("a cancelled attempt");
   }
 
   @Override
-  public void probe(long upstream) {
+  public void checkHealth(long upstream) {
     throw unexpected("a probe");
   }
 
   @Override
-  public void closeIdle(long upstream) {
+  public void closeIdleConnections(long upstream) {
     throw unexpected("a close");
   }
 
   @Override
-  public void fetch() {
+  public void fetchEndpoints() {
     throw unexpected("a fetch");
   }
 
   @Override
-  public void watch(boolean on) {
+  public void watchEndpoints(boolean on) {
     throw unexpected("a watch");
   }
 
   @Override
-  public void tell(int peer, byte[] payload) {
+  public void sendToPeer(int peer, byte[] payload) {
     throw unexpected("a message");
   }
 
@@ -281,7 +240,7 @@
   /**
    * Where all calls are served in time nothing of the kind is due, and the run would measure that.
    */
-  private static ScaleException unexpected(String what) {
-    return new ScaleException("the module asked for " + what + " where all calls are served");
+  private static BenchmarkException unexpected(String what) {
+    return new BenchmarkException("the module asked for " + what + " where all calls are served");
   }
 }
--- a/src/main/java/cranedeal/scale/ProcessesCommand.java
+++ b/src/main/java/loadbalancer/benchmark/ProcessesCommand.java
@@ -1,6 +1,5 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
-import cranedeal.scale.Fleet.Entry;
 import java.io.IOException;
 import java.net.Socket;
 import java.util.ArrayList;
@@ -8,6 +7,7 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLongArray;
+import loadbalancer.benchmark.Fleet.Entry;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
@@ -85,23 +85,23 @@
         .put("tier", tier);
     List<Entry> entries = Fleet.entries(length, deployment.zones);
     List<Socket> open = new ArrayList<>();
-    List<RealBalancer> balancers = List.of();
+    List<BalancerProcess> balancers = List.of();
     Acknowledgements acknowledged = new Acknowledgements();
     DiscoveryStandIn discovery = new DiscoveryStandIn(entries, acknowledged);
     try {
       balancers =
-          RealBalancer.start(
-              count, RealBalancer.run(), discovery, deployment.seed, tier, deployment.zones);
-      Point.spread(point.results, "ready_ms", each(balancers, RealBalancer::readyMillis));
-      Point.spread(point.results, "ready_cpu_ms", each(balancers, RealBalancer::readyCpuMillis));
+          BalancerProcess.start(
+              count, BalancerProcess.run(), discovery, deployment.seed, tier, deployment.zones);
+      Point.spread(point.results, "ready_ms", each(balancers, BalancerProcess::readyMillis));
+      Point.spread(point.results, "ready_cpu_ms", each(balancers, BalancerProcess::readyCpuMillis));
       TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
       memory(point, "rest", balancers);
-      double[] cpu = each(balancers, RealBalancer::cpuMillis);
+      double[] cpu = each(balancers, BalancerProcess::cpuMillis);
       double slowest = 0;
       for (int i = 0; i < resyncs; i++) {
         slowest = Math.max(slowest, resync(discovery, acknowledged));
       }
-      double[] after = each(balancers, RealBalancer::cpuMillis);
+      double[] after = each(balancers, BalancerProcess::cpuMillis);
       for (int i = 0; i < cpu.length; i++) {
         cpu[i] = (after[i] - cpu[i]) / Math.max(1, resyncs);
       }
@@ -109,7 +109,7 @@
       Point.spread(point.results, "resync_cpu_ms", cpu);
       memory(point, "resynced", balancers);
       for (int wanted : connections) {
-        for (RealBalancer balancer : balancers) {
+        for (BalancerProcess balancer : balancers) {
           for (int i = open.size() / count; i < wanted; i++) {
             open.add(connect(balancer, i));
           }
@@ -118,24 +118,24 @@
           memory(point, "connections_" + wanted, balancers);
         }
       }
-      for (RealBalancer balancer : balancers) {
+      for (BalancerProcess balancer : balancers) {
         balancer.checkAlive();
       }
     } finally {
       for (Socket socket : open) {
         socket.close();
       }
-      balancers.forEach(RealBalancer::close);
+      balancers.forEach(BalancerProcess::close);
       discovery.close();
     }
     return point;
   }
 
-  private static Socket connect(RealBalancer balancer, int open) {
+  private static Socket connect(BalancerProcess balancer, int open) {
     try {
       return balancer.health();
     } catch (IOException e) {
-      throw new ScaleException(
+      throw new BenchmarkException(
           "a balancer with " + open + " connections took no further one: " + e.getMessage());
     }
   }
@@ -148,8 +148,8 @@
     double seconds = 0;
     while (acknowledged.balancers.get((int) version) < count) {
       seconds = (System.nanoTime() - begun) / NANOS;
-      if (seconds > RealBalancer.READY_SECONDS) {
-        throw new ScaleException("a balancer did not take in its list in " + seconds + " s");
+      if (seconds > BalancerProcess.READY_SECONDS) {
+        throw new BenchmarkException("a balancer did not take in its list in " + seconds + " s");
       }
       TimeUnit.MILLISECONDS.sleep(LOOK_MS);
     }
@@ -177,10 +177,10 @@
   /** A figure of one balancer. */
   private interface Figure {
 
-    double of(RealBalancer balancer) throws IOException;
+    double of(BalancerProcess balancer) throws IOException;
   }
 
-  private static double[] each(List<RealBalancer> balancers, Figure figure) throws IOException {
+  private static double[] each(List<BalancerProcess> balancers, Figure figure) throws IOException {
     double[] values = new double[balancers.size()];
     for (int i = 0; i < values.length; i++) {
       values[i] = figure.of(balancers.get(i));
@@ -188,7 +188,7 @@
     return values;
   }
 
-  private static void memory(Point point, String when, List<RealBalancer> balancers)
+  private static void memory(Point point, String when, List<BalancerProcess> balancers)
       throws IOException {
     Point.spread(point.results, when + "_rss_kb", each(balancers, b -> b.memoryKb("VmRSS")));
     Point.spread(
--- a/src/main/java/cranedeal/scale/Propagation.java
+++ b/src/main/java/loadbalancer/benchmark/Propagation.java
@@ -1,4 +1,4 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashMap;
--- a/src/main/java/cranedeal/node/HollowBalancer.java
+++ b/src/main/java/loadbalancer/benchmark/SimulatedBalancer.java
@@ -1,10 +1,5 @@
-package cranedeal.node;
+package loadbalancer.benchmark;
 
-import cranedeal.LatencyWeightedBalancer;
-import cranedeal.LoadBalancer;
-import cranedeal.LoadBalancer.Change;
-import cranedeal.LoadBalancer.Settings;
-import cranedeal.LoadBalancer.Upstream;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.EventLoop;
 import java.io.ByteArrayInputStream;
@@ -13,13 +8,25 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.model.Endpoint;
+import loadbalancer.model.EndpointUpdateType;
+import loadbalancer.model.PolicySettings;
+import loadbalancer.policy.LatencyWeightedPolicy;
+import loadbalancer.policy.LoadBalancingPolicy;
+import loadbalancer.policy.PolicyActions;
+import loadbalancer.proxy.config.ProxyConfig;
+import loadbalancer.proxy.discovery.DiscoveryClient;
+import loadbalancer.proxy.discovery.EndpointListUpdate;
+import loadbalancer.proxy.eventloop.Clock;
+import loadbalancer.proxy.json.JsonReader;
+import loadbalancer.proxy.logging.ProxyLogger;
 
 /**
  * A balancer without callers, for scale runs: its module and its watch on discovery are those of a
- * {@link Node}, while thousands of them share a few loops. It has no socket but the one to
+ * {@code ProxyServer}, while thousands of them share a few loops. It has no socket but the one to
  * discovery. The program that serves does not have this class in its jar.
  */
-public final class HollowBalancer implements LoadBalancer.Actions {
+public final class SimulatedBalancer implements PolicyActions {
 
   /** Who hears what a balancer has taken in, on that balancer's loop. */
   public interface Listener {
@@ -28,15 +35,15 @@
      * The module has returned from this news; the version is that of its list, -1 for a failed
      * call.
      */
-    void taken(HollowBalancer balancer, Change change, long version);
+    void taken(SimulatedBalancer balancer, EndpointUpdateType change, long version);
   }
 
   /** A configuration read once, which many balancers differ from only in position and seed. */
   public static final class Template {
 
-    private final NodeConfig config;
+    private final ProxyConfig config;
 
-    private Template(NodeConfig config) {
+    private Template(ProxyConfig config) {
       this.config = config;
     }
 
@@ -47,77 +54,56 @@
     public static Template parse(String json) {
       try {
         return new Template(
-            NodeConfig.parse(
-                Json.read(new ByteArrayInputStream(json.getBytes(StandardCharsets.UTF_8)))));
+            ProxyConfig.parse(
+                JsonReader.read(new ByteArrayInputStream(json.getBytes(StandardCharsets.UTF_8)))));
       } catch (IOException e) {
         throw new IllegalArgumentException(e.getMessage().lines().findFirst().orElse(""), e);
       }
     }
 
     /** What the module of this configuration is told. */
-    public Settings settings() {
+    public PolicySettings settings() {
       return config.settings();
     }
 
     /** Reads a list as a balancer does: the bytes into a tree, the tree into entries. */
-    public List<Upstream> list(byte[] body) throws IOException {
-      return Roster.parse(Json.read(new ByteArrayInputStream(body)), config.zones(), config.kinds())
-          .upstreams();
+    public List<Endpoint> list(byte[] body) throws IOException {
+      return EndpointListUpdate.parse(
+              JsonReader.read(new ByteArrayInputStream(body)),
+              config.zones(),
+              config.machineTypes())
+          .endpoints();
     }
 
-    private NodeConfig at(int position, long seed) {
-      Settings s = config.settings();
-      Settings own =
-          new Settings(
-              position,
-              s.siblings(),
-              s.tier(),
-              s.tiers(),
-              s.zone(),
-              s.zones(),
-              s.kinds(),
-              s.subscribe(),
-              s.passesDeadline(),
-              s.warmKeys(),
-              s.retriesMarked(),
-              s.worthByWork(),
-              s.overShareWorth(),
-              s.weightKind(),
-              s.reports(),
-              s.reportFields(),
-              s.classes(),
-              s.tenants(),
-              s.limits(),
-              s.rules(),
-              s.goal(),
-              s.prices());
-      return new NodeConfig(
+    private ProxyConfig at(int position, long seed) {
+      PolicySettings own = config.settings().withInstanceIndex(position);
+      return new ProxyConfig(
           config.name(),
           config.listen(),
           config.discovery(),
           seed,
-          config.sockets(),
+          config.maxDescriptors(),
           own,
           config.zones(),
-          config.kinds(),
-          config.classes(),
+          config.machineTypes(),
+          config.requestClasses(),
           config.tenants(),
-          config.known());
+          config.knownEndpoints());
     }
   }
 
   private final int position;
-  private final NodeConfig config;
+  private final ProxyConfig config;
   private final EventLoop loop;
   private final Listener listener;
   private final Clock clock = new Clock();
-  private final LoadBalancer balancer = new LatencyWeightedBalancer(this);
-  private final Discovery discovery;
+  private final LoadBalancingPolicy balancer = new LatencyWeightedPolicy(this);
+  private final DiscoveryClient discovery;
   private final ArrayDeque<Runnable> events = new ArrayDeque<>();
   private boolean deciding;
   private boolean stopped;
 
-  private HollowBalancer(
+  private SimulatedBalancer(
       Template template,
       int position,
       long seed,
@@ -128,18 +114,20 @@
     this.loop = loop;
     this.listener = listener;
     config = template.at(position, seed);
-    discovery = new Discovery(loop, config, memory, this::told, () -> {}, Discovery.WATCH_MS);
+    discovery =
+        new DiscoveryClient(loop, config, memory, this::told, () -> {}, DiscoveryClient.WATCH_MS);
   }
 
-  /** Starts one on a loop; its watch begins as that of {@link Node} does. */
-  public static HollowBalancer start(
+  /** Starts one on a loop; its watch begins as that of {@code ProxyServer} does. */
+  public static SimulatedBalancer start(
       Template template,
       int position,
       long seed,
       EventLoop loop,
       ByteBufAllocator memory,
       Listener listener) {
-    HollowBalancer hollow = new HollowBalancer(template, position, seed, loop, memory, listener);
+    SimulatedBalancer hollow =
+        new SimulatedBalancer(template, position, seed, loop, memory, listener);
     loop.execute(hollow::begin);
     return hollow;
   }
@@ -160,15 +148,18 @@
 
   private void begin() {
     event(() -> balancer.start(clock.now(), config.settings(), config.seed()));
-    event(() -> balancer.upstreamsChanged(clock.now(), Change.CACHED, config.known().upstreams()));
-    if (!config.settings().subscribe()) {
-      watch(true);
+    event(
+        () ->
+            balancer.endpointsChanged(
+                clock.now(), EndpointUpdateType.CACHED, config.knownEndpoints().endpoints()));
+    if (!config.settings().explicitWatch()) {
+      watchEndpoints(true);
     }
   }
 
-  private void told(Change change, Roster roster) {
-    List<Upstream> entries = roster == null ? List.of() : roster.upstreams();
-    event(() -> balancer.upstreamsChanged(clock.now(), change, entries));
+  private void told(EndpointUpdateType change, EndpointListUpdate roster) {
+    List<Endpoint> entries = roster == null ? List.of() : roster.endpoints();
+    event(() -> balancer.endpointsChanged(clock.now(), change, entries));
     listener.taken(this, change, roster == null ? -1 : roster.version());
   }
 
@@ -189,56 +180,56 @@
   }
 
   @Override
-  public void fetch() {
+  public void fetchEndpoints() {
     discovery.fetch();
   }
 
   @Override
-  public void watch(boolean on) {
+  public void watchEndpoints(boolean on) {
     discovery.watch(on);
   }
 
   @Override
-  public void setTimer(long token, double at) {
+  public void scheduleTimer(long token, double at) {
     loop.schedule(
-        () -> event(() -> balancer.timer(clock.now(), token)),
+        () -> event(() -> balancer.timerExpired(clock.now(), token)),
         clock.nanosUntil(at),
         TimeUnit.NANOSECONDS);
   }
 
   @Override
-  public void send(long requestId, long upstream, double timeout) {
+  public void sendAttempt(long requestId, long upstream, double timeout) {
     throw noCallers();
   }
 
   @Override
-  public void refuse(long requestId, double retryAfter) {
+  public void reject(long requestId, double retryAfter) {
     throw noCallers();
   }
 
   @Override
-  public void fail(long requestId) {
+  public void failRequest(long requestId) {
     throw noCallers();
   }
 
   @Override
-  public void cancel(long requestId, int attempt) {
+  public void cancelAttempt(long requestId, int attempt) {
     throw noCallers();
   }
 
   @Override
-  public void probe(long upstream) {
+  public void checkHealth(long upstream) {
     throw noCallers();
   }
 
   /** It has no connections to upstreams, idle or not. */
   @Override
-  public void closeIdle(long upstream) {
+  public void closeIdleConnections(long upstream) {
     throw noCallers();
   }
 
   @Override
-  public void tell(int peer, byte[] payload) {
+  public void sendToPeer(int peer, byte[] payload) {
     throw noCallers();
   }
 
--- a/src/main/java/cranedeal/scale/HollowFleet.java
+++ b/src/main/java/loadbalancer/benchmark/SimulatedFleet.java
@@ -1,7 +1,5 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
-import cranedeal.LoadBalancer.Change;
-import cranedeal.node.HollowBalancer;
 import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -14,19 +12,20 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicLongArray;
 import java.util.function.IntPredicate;
+import loadbalancer.model.EndpointUpdateType;
 
 /** Many balancers without callers on a few loops, and what they have taken in. */
-final class HollowFleet implements AutoCloseable {
+final class SimulatedFleet implements AutoCloseable {
 
   private static final long LOOK_MS = 5;
 
-  private final HollowBalancer.Template template;
+  private final SimulatedBalancer.Template template;
   private final long seed;
   private final Propagation propagation;
   private final List<EventLoop> loops = new ArrayList<>();
   private final long[] threads;
   private final MultiThreadIoEventLoopGroup group;
-  private final HollowBalancer[] balancers;
+  private final SimulatedBalancer[] balancers;
 
   /** The version that each has; -1 for one that is stopped. */
   private final AtomicLongArray versions;
@@ -35,8 +34,8 @@
   private final AtomicLong lists = new AtomicLong();
   private final AtomicLong deltas = new AtomicLong();
 
-  HollowFleet(
-      HollowBalancer.Template template,
+  SimulatedFleet(
+      SimulatedBalancer.Template template,
       int count,
       int loopCount,
       long seed,
@@ -53,7 +52,7 @@
       threads[i] =
           loops.get(i).submit(() -> Thread.currentThread().getId()).syncUninterruptibly().getNow();
     }
-    balancers = new HollowBalancer[count];
+    balancers = new SimulatedBalancer[count];
     versions = new AtomicLongArray(count);
     for (int i = 0; i < count; i++) {
       versions.set(i, -1);
@@ -66,7 +65,7 @@
       if (which.test(i)) {
         versions.set(i, 0);
         balancers[i] =
-            HollowBalancer.start(
+            SimulatedBalancer.start(
                 template,
                 i,
                 seed + i,
@@ -86,10 +85,10 @@
     }
   }
 
-  private void taken(HollowBalancer balancer, Change change, long version) {
+  private void taken(SimulatedBalancer balancer, EndpointUpdateType change, long version) {
     long now = System.nanoTime();
     int position = balancer.position();
-    if (change == Change.FAILED) {
+    if (change == EndpointUpdateType.FAILED) {
       failures.incrementAndGet();
       return;
     }
@@ -98,7 +97,7 @@
       return;
     }
     versions.set(position, version);
-    if (change == Change.FULL) {
+    if (change == EndpointUpdateType.FULL) {
       lists.incrementAndGet();
     } else if (version > before) {
       deltas.incrementAndGet();
--- a/src/main/java/cranedeal/scale/Traffic.java
+++ b/src/main/java/loadbalancer/benchmark/Traffic.java
@@ -1,4 +1,4 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import java.util.ArrayList;
 import java.util.Arrays;
--- /dev/null
+++ b/src/main/java/loadbalancer/model/LoadReportMode.java
@@ -0,0 +1,11 @@
+package loadbalancer.model;
+
+/** How load reports reach an instance. */
+public enum LoadReportMode {
+  /** On responses. */
+  PIGGYBACK,
+  /** In answer to health checks. */
+  PROBE,
+  /** Not at all. */
+  NONE
+}
--- a/src/main/java/cranedeal/Mean.java
+++ b/src/main/java/loadbalancer/policy/ExponentialMovingAverage.java
@@ -1,13 +1,13 @@
-package cranedeal;
+package loadbalancer.policy;
 
 /** An average that forgets: its first samples weigh more, down to a steady gain. */
-final class Mean {
+final class ExponentialMovingAverage {
 
   private final double leastGain;
   private double value;
   private double gain = 0.5;
 
-  Mean(double first, double leastGain) {
+  ExponentialMovingAverage(double first, double leastGain) {
     value = first;
     this.leastGain = leastGain;
   }
--- a/src/main/java/cranedeal/LatencyWeightedBalancer.java
+++ b/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
@@ -1,6 +1,5 @@
-package cranedeal;
+package loadbalancer.policy;
 
-import cranedeal.Call.Attempt;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -10,10 +9,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import loadbalancer.model.AttemptOutcome;
+import loadbalancer.model.AttemptResult;
+import loadbalancer.model.ClientRequest;
+import loadbalancer.model.DeduplicationScope;
+import loadbalancer.model.Endpoint;
+import loadbalancer.model.EndpointState;
+import loadbalancer.model.EndpointUpdateType;
+import loadbalancer.model.Idempotency;
+import loadbalancer.model.LimitSettings;
+import loadbalancer.model.PolicySettings;
+import loadbalancer.model.RequestClass;
 
 /**
- * All decisions of cranedeal. Read {@link LoadBalancer} (LoadBalancer.java) first: it is the
- * interface.
+ * All decisions of the load balancer. Read {@link LoadBalancingPolicy} first: it is the interface.
  *
  * <p>The ordinary path: every server has a cost l = base + p * (1/s - 1), where base is its
  * smoothed served latency, s its windowed success share and p the class's steady time-out; each
@@ -21,7 +30,7 @@
  * arrival, the draw, the send, the outcome, the next attempt or the final answer; then the evidence
  * behind l, then the server list.
  */
-public final class LatencyWeightedBalancer implements LoadBalancer {
+public final class LatencyWeightedPolicy implements LoadBalancingPolicy {
 
   /** Ms in which evidence fades to 1/e: shorter than most troubles, so a sick server is retried. */
   private static final double EVIDENCE_FADE = 8_000;
@@ -245,25 +254,25 @@
   private static final int HOLD_TIMER = 0xff;
   private static final int STRAIN_TIMER = 0x80;
 
-  private final Actions actions;
-  private Settings settings;
+  private final PolicyActions actions;
+  private PolicySettings settings;
   private SplittableRandom random;
-  private final Map<Long, Server> servers = new LinkedHashMap<>();
-  private List<Server> ready = List.of();
+  private final Map<Long, EndpointStatistics> servers = new LinkedHashMap<>();
+  private List<EndpointStatistics> ready = List.of();
 
   /** How many siblings it takes until each ready server is in one's subset. */
   private int stride = 1;
 
-  private final Map<Long, Call> calls = new HashMap<>();
+  private final Map<Long, InFlightRequest> calls = new HashMap<>();
 
   /**
    * Rule 5: the requests of each key that are not settled; looked up by key only, dropped when
    * empty.
    */
-  private final Map<Long, ArrayDeque<Call>> lines = new HashMap<>();
+  private final Map<Long, ArrayDeque<InFlightRequest>> lines = new HashMap<>();
 
-  private ClassRecord[] classes;
-  private Server.Kind[] kinds;
+  private RequestClassStatistics[] classes;
+  private MachineTypeStatistics[] kinds;
   private double extraCalls = EXTRA_SAVED;
   private double coldUntil = Double.NEGATIVE_INFINITY;
 
@@ -282,33 +291,33 @@
   private double evidence;
 
   /** Creates an instance that asks its host for actions through {@code actions}. */
-  public LatencyWeightedBalancer(Actions actions) {
+  public LatencyWeightedPolicy(PolicyActions actions) {
     this.actions = actions;
   }
 
   @Override
-  public void start(double now, Settings given, long seed) {
+  public void start(double now, PolicySettings given, long seed) {
     settings = given;
     random = new SplittableRandom(seed);
-    classes = new ClassRecord[given.classes().size()];
+    classes = new RequestClassStatistics[given.requestClasses().size()];
     Arrays.setAll(
         classes,
         i ->
-            new ClassRecord(
+            new RequestClassStatistics(
                 i,
-                given.classes().get(i),
-                FIRST_GUESS * given.classes().get(i).aim(),
+                given.requestClasses().get(i),
+                FIRST_GUESS * given.requestClasses().get(i).latencyObjectiveMillis(),
                 FIRST_SLOW_RATIO,
                 FLEET_GAIN));
-    for (ClassRecord c : classes) {
+    for (RequestClassStatistics c : classes) {
       c.leader = Arrays.stream(classes).filter(c::sharesPlacement).findFirst().orElse(c);
     }
-    kinds = new Server.Kind[given.kinds()];
-    Arrays.setAll(kinds, i -> new Server.Kind(FLEET_GAIN));
+    kinds = new MachineTypeStatistics[given.machineTypeCount()];
+    Arrays.setAll(kinds, i -> new MachineTypeStatistics(FLEET_GAIN));
     heardAt = now;
-    trust = DOUBT_AFTER * given.rules().askEvery();
-    if (given.subscribe()) {
-      actions.watch(true);
+    trust = DOUBT_AFTER * given.rules().pollIntervalMillis();
+    if (given.explicitWatch()) {
+      actions.watchEndpoints(true);
     }
   }
 
@@ -316,27 +325,31 @@
   // -------------------------------------------------------------------------
 
   @Override
-  public void request(double now, Request request) {
-    Call call = new Call(request, classes[request.serviceClass()], now);
+  public void requestArrived(double now, ClientRequest request) {
+    InFlightRequest call = new InFlightRequest(request, classes[request.requestClass()], now);
     calls.put(request.id(), call);
     extraCalls = Math.min(EXTRA_SAVED, extraCalls + EXTRA_PER_REQUEST);
-    if (request.cost() > 0) {
-      call.record.hint.add(request.cost());
+    if (request.costMillis() > 0) {
+      call.statistics.cost.add(request.costMillis());
     }
-    call.record.retries.add(request.retry() ? 1 : 0);
+    call.statistics.clientRetryShare.add(request.retry() ? 1 : 0);
     // Where a late answer is worth nothing, the work for it is better spent on others.
-    double stretched = call.type.aim() + call.type.aimStretch() * request.cost();
-    double aim = now + Math.min(call.type.deadline(), stretched);
-    call.usefulEnd =
-        call.type.lateWorth() > 0 ? request.deadline() : Math.min(request.deadline(), aim);
+    double stretched =
+        call.requestClass.latencyObjectiveMillis()
+            + call.requestClass.objectivePerCost() * request.costMillis();
+    double aim = now + Math.min(call.requestClass.deadlineMillis(), stretched);
+    call.usefulUntil =
+        call.requestClass.lateResponseValue() > 0
+            ? request.deadlineMillis()
+            : Math.min(request.deadlineMillis(), aim);
     if (shed(call)) {
       answerUnserved(call, now);
       return;
     }
     earnColdBudget(call, now);
-    if (call.type.inOrder() && request.key() != 0) {
-      call.line = lines.computeIfAbsent(request.key(), key -> new ArrayDeque<>());
-      call.line.addLast(call);
+    if (call.requestClass.orderedByKey() && request.key() != 0) {
+      call.keyQueue = lines.computeIfAbsent(request.key(), key -> new ArrayDeque<>());
+      call.keyQueue.addLast(call);
     }
     dispatch(call, now);
   }
@@ -347,18 +360,19 @@
    * time, at once where the servers it could go to have more calls of ours than they serve in the
    * time it has.
    */
-  private void dispatch(Call call, double now) {
-    double latest = call.usefulEnd - TOO_LATE * expected(call) - ahead(call);
+  private void dispatch(InFlightRequest call, double now) {
+    double latest = call.usefulUntil - TOO_LATE * expected(call) - ahead(call);
     double patient =
-        Math.min(latest, call.arrivedAt + HOLD_SHARE * (call.request.deadline() - call.arrivedAt));
-    call.patientUntil = patient;
-    boolean itsTurn = call.line == null || call.line.peekFirst() == call;
-    Server server = itsTurn && now < latest ? draw(call, true, now) : null;
+        Math.min(
+            latest, call.arrivedAt + HOLD_SHARE * (call.request.deadlineMillis() - call.arrivedAt));
+    call.queuedUntil = patient;
+    boolean itsTurn = call.keyQueue == null || call.keyQueue.peekFirst() == call;
+    EndpointStatistics server = itsTurn && now < latest ? draw(call, true, now) : null;
     if (server != null) {
       send(call, server, now);
     } else if (now < patient && call.attempts.isEmpty() && !(itsTurn && jammed)) {
       double again = itsTurn ? Math.min(patient, now + LOOK_AGAIN) : patient;
-      actions.setTimer(call.id << 8 | HOLD_TIMER, again);
+      actions.scheduleTimer(call.id << 8 | HOLD_TIMER, again);
     } else {
       answerUnserved(call, now);
     }
@@ -370,25 +384,26 @@
    * server has just started, their draws would else take most of the processor's time, and answers
    * would come too late.
    */
-  private void lookAgain(Call call, double now) {
-    ClassRecord held = call.record;
-    if (now < Math.min(held.looksAgainAt, call.patientUntil)) {
-      actions.setTimer(call.id << 8 | HOLD_TIMER, Math.min(held.looksAgainAt, call.patientUntil));
+  private void lookAgain(InFlightRequest call, double now) {
+    RequestClassStatistics held = call.statistics;
+    if (now < Math.min(held.nextSelectionAt, call.queuedUntil)) {
+      actions.scheduleTimer(
+          call.id << 8 | HOLD_TIMER, Math.min(held.nextSelectionAt, call.queuedUntil));
       return;
     }
     dispatch(call, now);
     if (!call.done && call.attempts.isEmpty()) {
-      held.looksAgainAt = now + LOOK_AGAIN;
+      held.nextSelectionAt = now + LOOK_AGAIN;
     }
   }
 
   /** Rule 5: the time that the requests before it in its line are expected to take. */
-  private static double ahead(Call call) {
-    return call.line == null
+  private static double ahead(InFlightRequest call) {
+    return call.keyQueue == null
         ? 0
-        : call.line.stream()
+        : call.keyQueue.stream()
             .takeWhile(other -> other != call)
-            .mapToDouble(LatencyWeightedBalancer::expected)
+            .mapToDouble(LatencyWeightedPolicy::expected)
             .sum();
   }
 
@@ -396,13 +411,13 @@
    * Rule 5: a request leaves its line once it is over, no attempt is out and none that was given up
    * may still be running; then the next one goes. One that leaves before its turn moves nobody.
    */
-  private void leaveLine(Call call, double now) {
-    boolean first = call.line.peekFirst() == call;
-    call.line.remove(call);
-    if (call.line.isEmpty()) {
+  private void leaveLine(InFlightRequest call, double now) {
+    boolean first = call.keyQueue.peekFirst() == call;
+    call.keyQueue.remove(call);
+    if (call.keyQueue.isEmpty()) {
       lines.remove(call.request.key());
     } else if (first) {
-      dispatch(call.line.peekFirst(), now);
+      dispatch(call.keyQueue.peekFirst(), now);
     }
   }
 
@@ -413,14 +428,14 @@
    * Under overload all would be late, so a part of the work is refused before any is spent on it:
    * only where clients arrive, since further down a refusal wastes what was done above.
    */
-  private boolean shed(Call call) {
-    for (ClassRecord c : classes) {
-      c.share += FLEET_GAIN * ((c == call.record ? 1 : 0) - c.share);
+  private boolean shed(InFlightRequest call) {
+    for (RequestClassStatistics c : classes) {
+      c.share += FLEET_GAIN * ((c == call.statistics ? 1 : 0) - c.share);
     }
-    if (call.record.leader.pressure == 0) {
+    if (call.statistics.leader.overloadLevel == 0) {
       return false;
     }
-    planShedding(call.record.leader);
+    planShedding(call.statistics.leader);
     return random.nextDouble() < refusalChance(call);
   }
 
@@ -429,14 +444,14 @@
    * refuse. Marked retries go first: their client has waited before, so that less is left of its
    * aim than there seems to be, and a first try that is served brings no retry.
    */
-  private static double refusalChance(Call call) {
-    ClassRecord c = call.record;
-    double retries = c.retries.value();
-    double chanceOfRetry = Math.min(1, c.refused / Math.max(SEEN_LEAST, retries));
+  private static double refusalChance(InFlightRequest call) {
+    RequestClassStatistics c = call.statistics;
+    double retries = c.clientRetryShare.value();
+    double chanceOfRetry = Math.min(1, c.rejectedShare / Math.max(SEEN_LEAST, retries));
     if (call.request.retry()) {
       return chanceOfRetry;
     }
-    return (c.refused - retries * chanceOfRetry) / Math.max(SEEN_LEAST, 1 - retries);
+    return (c.rejectedShare - retries * chanceOfRetry) / Math.max(SEEN_LEAST, 1 - retries);
   }
 
   /**
@@ -445,15 +460,15 @@
    * itself too. Classes of one placement share their pressure: what is bound to crowded servers is
    * shed alone.
    */
-  private void planShedding(ClassRecord leader) {
-    ClassRecord[] cheapestFirst =
+  private void planShedding(RequestClassStatistics leader) {
+    RequestClassStatistics[] cheapestFirst =
         Arrays.stream(classes)
             .filter(c -> c.leader == leader)
             .sorted(Comparator.comparingDouble(c -> worth(c) / work(c)))
-            .toArray(ClassRecord[]::new);
+            .toArray(RequestClassStatistics[]::new);
     double allWork = Arrays.stream(cheapestFirst).mapToDouble(this::work).sum();
     double allWorth = Arrays.stream(cheapestFirst).mapToDouble(this::worth).sum();
-    double forWorst = settings.goal().worstClass();
+    double forWorst = settings.worstClassWeight();
     double[] parts = new double[cheapestFirst.length];
     double least = Double.MAX_VALUE;
     for (int step = 1; step <= PLAN_STEPS; step++) {
@@ -468,19 +483,19 @@
       if (left < allWork / 1_000 && loss < least) {
         least = loss;
         for (int i = 0; i < parts.length; i++) {
-          cheapestFirst[i].refused = parts[i];
+          cheapestFirst[i].rejectedShare = parts[i];
         }
       }
     }
   }
 
   /** A class's part of the work asked for; hints tell it best, else served latencies. */
-  private double work(ClassRecord c) {
-    return (c.share + SEEN_LEAST) * (c.hint.value() > 0 ? c.hint.value() : c.latency.value());
+  private double work(RequestClassStatistics c) {
+    return (c.share + SEEN_LEAST) * (c.cost.value() > 0 ? c.cost.value() : c.latency.value());
   }
 
-  private double worth(ClassRecord c) {
-    return c.type.worth() * (settings.worthByWork() ? work(c) : c.share + SEEN_LEAST);
+  private double worth(RequestClassStatistics c) {
+    return c.type.priorityWeight() * (settings.priorityByWork() ? work(c) : c.share + SEEN_LEAST);
   }
 
   // ---- The draw
@@ -491,22 +506,22 @@
    * request has tried only when all have been tried and nothing is out. Cold servers have their
    * part by turns.
    */
-  private Server draw(Call call, boolean untried, double now) {
+  private EndpointStatistics draw(InFlightRequest call, boolean untried, double now) {
     jammed = false;
     double longestQueue = longestQueue(call, now);
     double tries = 0;
-    for (Server server : ready) {
-      tries += server.tries;
-      boolean usable = mayGoTo(call, server, now) && !(untried && call.tried(server));
+    for (EndpointStatistics server : ready) {
+      tries += server.attempts;
+      boolean usable = mayGoTo(call, server, now) && !(untried && call.attempted(server));
       boolean queued = usable && crowding(server, call) > longestQueue;
       jammed |= queued;
       server.weight = usable && !queued ? 1 / cost(server, call, now) : 0;
     }
     evidence = tries / Math.max(1, ready.size());
-    Server drawn = now < coldUntil ? drawCold(now) : null;
+    EndpointStatistics drawn = now < coldUntil ? drawCold(now) : null;
     double total = ready.stream().mapToDouble(server -> server.weight).sum();
     double point = drawn == null ? random.nextDouble() * total : -1;
-    for (Server server : ready) {
+    for (EndpointStatistics server : ready) {
       if (server.weight > 0 && point >= 0) {
         drawn = server;
         point -= server.weight;
@@ -516,11 +531,11 @@
   }
 
   /** The server's l for this request. */
-  private double cost(Server server, Call call, double now) {
-    server.fade(now, EVIDENCE_FADE, FADE_STEP);
-    double l = server.base(BASE_POOL) * call.record.latency.value();
-    double success = server.success(call.record.index, SUCCESS_POOL, CLASS_POOL);
-    l += call.type.aim() * (1 / Math.max(SUCCESS_FLOOR, success) - 1);
+  private double cost(EndpointStatistics server, InFlightRequest call, double now) {
+    server.decay(now, EVIDENCE_FADE, FADE_STEP);
+    double l = server.relativeLatency(BASE_POOL) * call.statistics.latency.value();
+    double success = server.success(call.statistics.index, SUCCESS_POOL, CLASS_POOL);
+    l += call.requestClass.latencyObjectiveMillis() * (1 / Math.max(SUCCESS_FLOOR, success) - 1);
     // Where to leave a zone is dear, a sick server at home would else keep the calls that it loses:
     // it
     // fails them at once, so none are in flight there, while those that serve seem busy. A failure
@@ -530,26 +545,34 @@
         1
             + crossing()
                 * Math.min(MOST_LEAVING, Math.pow((1 - success) / WORTH_LEAVING, CROWD_POWER));
-    l *= 1 + IN_FLIGHT * server.out.size();
-    if (!server.out.isEmpty()) {
-      Attempt oldest = server.out.peekFirst();
-      l += OVERDUE_WEIGHT * Math.max(0, now - oldest.sentAt - slowAfter(oldest.call));
+    l *= 1 + IN_FLIGHT * server.inFlight.size();
+    if (!server.inFlight.isEmpty()) {
+      Attempt oldest = server.inFlight.peekFirst();
+      l += OVERDUE_WEIGHT * Math.max(0, now - oldest.sentAt - slowAfter(oldest.request));
     }
-    l *= 1 + crossing() * Math.pow(crowding(server, call) / call.type.aim(), CROWD_POWER);
-    if (server.listed.zone() != settings.zone()) {
+    l *=
+        1
+            + crossing()
+                * Math.pow(
+                    crowding(server, call) / call.requestClass.latencyObjectiveMillis(),
+                    CROWD_POWER);
+    if (server.endpoint.zone() != settings.zone()) {
       l *= 1 + crossing();
     }
-    if (!server.preferred) {
+    if (!server.inSubset) {
       l *=
           1
               + OUTSIDE / Math.pow(1 + evidence, 2)
-              + CONNECTION * (settings.prices().connection() + settings.prices().handshake());
+              + CONNECTION * (settings.costs().connectionCost() + settings.costs().handshakeCost());
     }
     // Weights even out latencies, yet only those who are free can make room for those who are
     // bound.
-    for (ClassRecord c : classes) {
-      if (c.leader == c && c != call.record.leader && c.isBound() && c.type.admits(server.listed)) {
-        l *= 1 + RELIEF * (CALM / 2 + c.pressure);
+    for (RequestClassStatistics c : classes) {
+      if (c.leader == c
+          && c != call.statistics.leader
+          && c.hasPlacement()
+          && c.type.allows(server.endpoint)) {
+        l *= 1 + RELIEF * (CALM / 2 + c.overloadLevel);
       }
     }
     return l / warmth(server, now);
@@ -564,10 +587,12 @@
    * pause, a sick core. Does harm where one call is worth less than a crossing, or where a server
    * got faster and its record tells of a jam.
    */
-  private static double crowding(Server server, Call call) {
+  private static double crowding(EndpointStatistics server, InFlightRequest call) {
     double each =
-        server.base(BASE_POOL) * expected(call) / (1 + Math.max(ROOM, server.crowd(BASE_POOL)));
-    return each * (1 + server.out.size());
+        server.relativeLatency(BASE_POOL)
+            * expected(call)
+            / (1 + Math.max(ROOM, server.concurrency(BASE_POOL)));
+    return each * (1 + server.inFlight.size());
   }
 
   /**
@@ -576,45 +601,47 @@
    * for nobody. Dear calls find room where cheap ones don't. Only where clients arrive: further
    * down a refusal wastes what was done above.
    */
-  private double longestQueue(Call call, double now) {
+  private double longestQueue(InFlightRequest call, double now) {
     if (settings.tier() > 0) {
       return Double.MAX_VALUE;
     }
     double dearest = 0;
-    for (ClassRecord c : classes) {
+    for (RequestClassStatistics c : classes) {
       dearest = Math.max(dearest, worth(c) / work(c));
     }
-    double part = worth(call.record) / work(call.record) / dearest;
-    return (LEAST_QUEUE + (1 - LEAST_QUEUE) * part) * (call.usefulEnd - now);
+    double part = worth(call.statistics) / work(call.statistics) / dearest;
+    return (LEAST_QUEUE + (1 - LEAST_QUEUE) * part) * (call.usefulUntil - now);
   }
 
   private double crossing() {
-    return CROSSING * Math.sqrt(settings.prices().crossZone());
+    return CROSSING * Math.sqrt(settings.costs().crossZoneCost());
   }
 
   /**
    * Rules 6 and 2: placement; an attempt that may have run ties a request to its group, or ends it.
    */
-  private boolean mayGoTo(Call call, Server server, double now) {
-    Limits limits = settings.limits();
+  private boolean mayGoTo(InFlightRequest call, EndpointStatistics server, double now) {
+    LimitSettings limits = settings.limits();
     if (call.attempts.size() >= limits.maxAttempts()
-        || call.running > 0 && !limits.parallel()
-        || !call.type.admits(server.listed)) {
+        || call.running > 0 && !limits.parallelAttempts()
+        || !call.requestClass.allows(server.endpoint)) {
       return false;
     }
     Attempt first = call.firstMaybeRun();
-    ServiceClass c = call.type;
-    if (first == null || c.repeat() == Repeat.IDEMPOTENT) {
+    RequestClass c = call.requestClass;
+    if (first == null || c.idempotency() == Idempotency.IDEMPOTENT) {
       return true;
     }
-    Upstream from = first.server.listed;
-    Upstream to = server.listed;
+    Endpoint from = first.endpoint.endpoint;
+    Endpoint to = server.endpoint;
     // It may wait for its connection until that fails, and is a second effect from the window's end
     // on.
-    return c.repeat() == Repeat.DEDUPLICATED
-        && now + limits.connectTimeout() < first.sentAt + c.memory()
-        && (c.group() == Group.ALL
-            || (c.group() == Group.ZONE ? from.zone() == to.zone() : from.cell() == to.cell()));
+    return c.idempotency() == Idempotency.DEDUPLICATED
+        && now + limits.connectTimeoutMillis() < first.sentAt + c.deduplicationWindowMillis()
+        && (c.deduplicationScope() == DeduplicationScope.ALL
+            || (c.deduplicationScope() == DeduplicationScope.ZONE
+                ? from.zone() == to.zone()
+                : from.deduplicationGroup() == to.deduplicationGroup()));
   }
 
   // ---- Rule 4: servers that have just started
@@ -623,13 +650,13 @@
   /**
    * The share of its capacity that a server can be trusted to have: an even ramp over the warm-up.
    */
-  private double warmth(Server server, double now) {
-    double age = now - server.listed.startedAt();
-    if (server.listed.startedAt() == 0 || age >= settings.rules().warmUp()) {
+  private double warmth(EndpointStatistics server, double now) {
+    double age = now - server.endpoint.startedAtMillis();
+    if (server.endpoint.startedAtMillis() == 0 || age >= settings.rules().warmUpMillis()) {
       return 1;
     }
-    double from = settings.rules().startCapacity();
-    return from + (1 - from) * Math.max(0, age) / settings.rules().warmUp();
+    double from = settings.rules().initialCapacity();
+    return from + (1 - from) * Math.max(0, age) / settings.rules().warmUpMillis();
   }
 
   /**
@@ -642,20 +669,22 @@
    * would lapse; over all siblings that is the same. It moves half, as one of them may have several
    * times the mean traffic, and less where less is warm.
    */
-  private void earnColdBudget(Call call, double now) {
+  private void earnColdBudget(InFlightRequest call, double now) {
     if (now >= coldUntil) {
       return;
     }
-    List<Server> open = ready.stream().filter(server -> call.type.admits(server.listed)).toList();
+    List<EndpointStatistics> open =
+        ready.stream().filter(server -> call.requestClass.allows(server.endpoint)).toList();
     double warm = open.stream().mapToDouble(server -> warmth(server, now)).sum();
     double part =
-        Math.min(1, COLD_MARGIN * settings.rules().fallMultiple())
+        Math.min(1, COLD_MARGIN * settings.rules().collapseMultiple())
             / Math.max(warm, open.size() / 2.0);
-    double inside = 1 + (Math.min(stride, settings.siblings()) - 1) / 2.0 * warm / open.size();
+    double inside = 1 + (Math.min(stride, settings.instanceCount()) - 1) / 2.0 * warm / open.size();
     double outside = (stride - inside) / Math.max(1, stride - 1);
     open.forEach(
         server ->
-            server.coldBudget = part * warmth(server, now) * (server.preferred ? inside : outside));
+            server.warmUpBudget =
+                part * warmth(server, now) * (server.inSubset ? inside : outside));
   }
 
   /**
@@ -666,8 +695,8 @@
    * goes by the traffic of all and not by how many carry it, and each sends at most one call beyond
    * what its own have earned.
    */
-  private Server drawCold(double now) {
-    List<Server> cold = new ArrayList<>(ready);
+  private EndpointStatistics drawCold(double now) {
+    List<EndpointStatistics> cold = new ArrayList<>(ready);
     cold.removeIf(server -> server.weight == 0 || warmth(server, now) >= 1);
     double left = 1;
     double perWeight;
@@ -675,24 +704,24 @@
     do {
       perWeight = left / ready.stream().mapToDouble(server -> server.weight).sum();
       bounded = false;
-      for (Server server : cold) {
-        if (server.coldBudget < perWeight * server.weight) {
-          left = Math.max(0, left - server.coldBudget);
-          server.stake(server.coldBudget);
+      for (EndpointStatistics server : cold) {
+        if (server.warmUpBudget < perWeight * server.weight) {
+          left = Math.max(0, left - server.warmUpBudget);
+          server.spendWarmUpChance(server.warmUpBudget);
           bounded = true;
         }
       }
     } while (bounded);
-    for (Server server : cold) {
-      server.stake(server.weight > 0 ? perWeight * server.weight : 0);
+    for (EndpointStatistics server : cold) {
+      server.spendWarmUpChance(server.weight > 0 ? perWeight * server.weight : 0);
     }
-    Server due =
+    EndpointStatistics due =
         cold.stream()
-            .filter(server -> server.sendsDue >= 1)
-            .max(Comparator.comparingDouble(server -> server.sendsDue))
+            .filter(server -> server.accumulatedChance >= 1)
+            .max(Comparator.comparingDouble(server -> server.accumulatedChance))
             .orElse(null);
     if (due != null) {
-      due.sendsDue -= 1;
+      due.accumulatedChance -= 1;
     }
     return due;
   }
@@ -700,33 +729,38 @@
   // ---- The send
   // ----------------------------------------------------------------------------------
 
-  private void send(Call call, Server server, double now) {
-    Attempt attempt = new Attempt(call, server, now, refused(call.record.leader));
-    double timeout = call.usefulEnd - now;
+  private void send(InFlightRequest call, EndpointStatistics server, double now) {
+    Attempt attempt = new Attempt(call, server, now, refused(call.statistics.leader));
+    double timeout = call.usefulUntil - now;
     double slowAfter = slowAfter(call);
-    boolean repeatable = call.type.repeat() != Repeat.AT_MOST_ONCE && !call.type.streamed();
-    if (repeatable && settings.limits().parallel() && slowAfter + expected(call) < timeout) {
-      actions.setTimer(call.id << 8 | attempt.number, now + slowAfter);
+    boolean repeatable =
+        call.requestClass.idempotency() != Idempotency.AT_MOST_ONCE
+            && !call.requestClass.streamed();
+    if (repeatable
+        && settings.limits().parallelAttempts()
+        && slowAfter + expected(call) < timeout) {
+      actions.scheduleTimer(call.id << 8 | attempt.number, now + slowAfter);
     } else if (repeatable && extraCalls >= 1 && GIVE_UP * slowAfter + expected(call) < timeout) {
       timeout = GIVE_UP * slowAfter;
     }
     call.attempts.add(attempt);
     call.running++;
-    server.out.addLast(attempt);
+    server.inFlight.addLast(attempt);
     if (settings.tier() == 0) {
-      actions.setTimer(call.id << 8 | STRAIN_TIMER | attempt.number, now + strainedAfter(call));
+      actions.scheduleTimer(
+          call.id << 8 | STRAIN_TIMER | attempt.number, now + strainedAfter(call));
     }
-    actions.send(call.id, server.listed.id(), timeout);
+    actions.sendAttempt(call.id, server.endpoint.id(), timeout);
   }
 
   /** A call is slower than nearly all: a second copy elsewhere, if the budget has one. */
   @Override
-  public void timer(double now, long token) {
+  public void timerExpired(double now, long token) {
     if (token == WATCH_TOKEN) {
-      actions.watch(true);
+      actions.watchEndpoints(true);
       return;
     }
-    Call call = calls.get(token >>> 8);
+    InFlightRequest call = calls.get(token >>> 8);
     int number = (int) (token & 0xff);
     if (call == null) {
       return;
@@ -738,18 +772,18 @@
     } else if (number >= STRAIN_TIMER && number < HOLD_TIMER) {
       // Overload is felt when a call becomes overdue: by the time it ends, a crowd has gathered.
       Attempt attempt = call.attempts.get(number - STRAIN_TIMER);
-      if (attempt.result == null && !attempt.streaming) {
-        attempt.strained = true;
+      if (attempt.outcome == null && !attempt.streaming) {
+        attempt.reportedLate = true;
         seeUnrefused(attempt, false, now);
         feelPressure(attempt, false, now);
       }
     } else if (!call.streaming
         && call.attempts.size() == number + 1
-        && call.attempts.get(number).result == null
+        && call.attempts.get(number).outcome == null
         && extraCalls >= 1
-        && call.record.leader.pressure < CALM
-        && call.usefulEnd - now > expected(call)) {
-      Server server = draw(call, true, now);
+        && call.statistics.leader.overloadLevel < CALM
+        && call.usefulUntil - now > expected(call)) {
+      EndpointStatistics server = draw(call, true, now);
       if (server != null) {
         extraCalls -= 1;
         send(call, server, now);
@@ -761,49 +795,49 @@
   // -------------------------------------------------------------------------------
 
   @Override
-  public void attemptFinished(double now, Outcome outcome) {
-    Call call = calls.get(outcome.requestId());
+  public void attemptFinished(double now, AttemptResult outcome) {
+    InFlightRequest call = calls.get(outcome.requestId());
     if (call == null
         || outcome.attempt() >= call.attempts.size()
-        || call.attempts.get(outcome.attempt()).result != null) {
+        || call.attempts.get(outcome.attempt()).outcome != null) {
       return;
     }
     Attempt attempt = call.attempts.get(outcome.attempt());
-    attempt.result = outcome.result();
-    attempt.server.out.remove(attempt);
+    attempt.outcome = outcome.outcome();
+    attempt.endpoint.inFlight.remove(attempt);
     call.running--;
-    if (outcome.result() == Result.TIMEOUT
-        || outcome.result() == Result.RESET
-        || outcome.result() == Result.CANCELLED) {
-      call.restsUntil = now + settings.rules().orderSettle();
+    if (outcome.outcome() == AttemptOutcome.TIMEOUT
+        || outcome.outcome() == AttemptOutcome.RESET
+        || outcome.outcome() == AttemptOutcome.CANCELLED) {
+      call.settlesAt = now + settings.rules().keySettleMillis();
     }
     learn(attempt, outcome, now);
-    boolean inGoodTime = outcome.elapsed() < strainedAfter(call);
-    if (settings.tier() == 0 && outcome.result() != Result.CANCELLED) {
-      seeUnrefused(attempt, outcome.result() == Result.OK, now);
+    boolean inGoodTime = outcome.elapsedMillis() < strainedAfter(call);
+    if (settings.tier() == 0 && outcome.outcome() != AttemptOutcome.CANCELLED) {
+      seeUnrefused(attempt, outcome.outcome() == AttemptOutcome.OK, now);
     }
     // What breaks at once tells of a sick server: to refuse others would not help.
     boolean sick =
         inGoodTime
-            && (outcome.result() == Result.ERROR
-                || outcome.result() == Result.RESET
-                || outcome.result() == Result.CONNECT_FAILED);
+            && (outcome.outcome() == AttemptOutcome.ERROR
+                || outcome.outcome() == AttemptOutcome.RESET
+                || outcome.outcome() == AttemptOutcome.CONNECT_FAILED);
     if (settings.tier() == 0
-        && !attempt.strained
-        && outcome.result() != Result.CANCELLED
+        && !attempt.reportedLate
+        && outcome.outcome() != AttemptOutcome.CANCELLED
         && !sick) {
-      feelPressure(attempt, outcome.result() == Result.OK && inGoodTime, now);
+      feelPressure(attempt, outcome.outcome() == AttemptOutcome.OK && inGoodTime, now);
     }
-    if (outcome.result() == Result.OK && attempt.number > 0) {
+    if (outcome.outcome() == AttemptOutcome.OK && attempt.number > 0) {
       // It served where another did not: sick servers, not a jam, and worth as many again.
       extraCalls = Math.min(EXTRA_SAVED, extraCalls + 1);
     }
-    freeConnection(attempt.server, outcome.result(), now);
-    doubtList(attempt.server, outcome.result(), now);
-    if (outcome.closed() || call.done) {
+    freeConnection(attempt.endpoint, outcome.outcome(), now);
+    doubtList(attempt.endpoint, outcome.outcome(), now);
+    if (outcome.requestClosed() || call.done) {
       over(call, now);
     } else if (call.running == 0) {
-      tryAgain(call, outcome.result(), now);
+      tryAgain(call, outcome.outcome(), now);
     }
   }
 
@@ -813,12 +847,12 @@
    * idle ones last. Elsewhere connections stay: a failed connect may as well mean that a server is
    * down.
    */
-  private void freeConnection(Server server, Result result, double now) {
-    if (result == Result.CONNECT_FAILED) {
-      server.crowdedUntil = now + settings.limits().connectionIdle();
+  private void freeConnection(EndpointStatistics server, AttemptOutcome result, double now) {
+    if (result == AttemptOutcome.CONNECT_FAILED) {
+      server.connectionsFullUntil = now + settings.limits().idleTimeoutMillis();
     }
-    if (now < server.crowdedUntil && server.out.isEmpty()) {
-      actions.closeIdle(server.listed.id());
+    if (now < server.connectionsFullUntil && server.inFlight.isEmpty()) {
+      actions.closeIdleConnections(server.endpoint.id());
     }
   }
 
@@ -829,19 +863,19 @@
    * crashed unnoticed looks the same, so the questions grow rare while no news comes, lest a whole
    * fleet's flood the registry.
    */
-  private void doubtList(Server server, Result result, double now) {
-    if (result == Result.FULL || result == Result.CONNECT_FAILED) {
-      server.doubts += 1;
-    } else if (result == Result.OK) {
-      server.doubts = 0;
+  private void doubtList(EndpointStatistics server, AttemptOutcome result, double now) {
+    if (result == AttemptOutcome.FULL || result == AttemptOutcome.CONNECT_FAILED) {
+      server.consecutiveRejections += 1;
+    } else if (result == AttemptOutcome.OK) {
+      server.consecutiveRejections = 0;
     }
-    if (settings.subscribe()
-        && server.doubts >= DOUBTS
-        && server.listed.state() == State.READY
+    if (settings.explicitWatch()
+        && server.consecutiveRejections >= DOUBTS
+        && server.endpoint.state() == EndpointState.READY
         && now - heardAt >= trust) {
       heardAt = now;
       trust *= 2;
-      actions.watch(true);
+      actions.watchEndpoints(true);
     }
   }
 
@@ -850,9 +884,9 @@
    * a server cost it no work, so it is not charged to the budget, which is there for the time when
    * all is slow.
    */
-  private void tryAgain(Call call, Result result, double now) {
-    boolean charged = result != Result.CONNECT_FAILED;
-    if (result == Result.NOT_SENT || charged && extraCalls < 1) {
+  private void tryAgain(InFlightRequest call, AttemptOutcome result, double now) {
+    boolean charged = result != AttemptOutcome.CONNECT_FAILED;
+    if (result == AttemptOutcome.NOT_SENT || charged && extraCalls < 1) {
       answerUnserved(call, now);
     } else {
       extraCalls -= charged ? 1 : 0;
@@ -861,16 +895,17 @@
   }
 
   /** Rule 1's one final answer: a refusal only where trying again is known to be harmless. */
-  private void answerUnserved(Call call, double now) {
-    ServiceClass c = call.type;
+  private void answerUnserved(InFlightRequest call, double now) {
+    RequestClass c = call.requestClass;
     boolean harmless =
-        c.repeat() == Repeat.IDEMPOTENT
+        c.idempotency() == Idempotency.IDEMPOTENT
             || call.firstMaybeRun() == null
-            || c.repeat() == Repeat.DEDUPLICATED && c.group() == Group.ALL;
+            || c.idempotency() == Idempotency.DEDUPLICATED
+                && c.deduplicationScope() == DeduplicationScope.ALL;
     if (harmless) {
-      actions.refuse(call.id, settings.limits().retryAfter() ? comeBackAfter(call) : 0);
+      actions.reject(call.id, settings.limits().retryAfterAdvice() ? comeBackAfter(call) : 0);
     } else {
-      actions.fail(call.id);
+      actions.failRequest(call.id);
     }
     over(call, now);
   }
@@ -879,39 +914,42 @@
    * When a refused client ought to return: the later, the more has to go before there is room for
    * it.
    */
-  private double comeBackAfter(Call call) {
-    double longest = Math.min(settings.limits().maxRetryAfter(), RETURN_SHARE * call.type.aim());
-    return Math.min(longest, LOOK_AGAIN + longest * call.record.leader.pressure);
+  private double comeBackAfter(InFlightRequest call) {
+    double longest =
+        Math.min(
+            settings.limits().maxRetryAfterMillis(),
+            RETURN_SHARE * call.requestClass.latencyObjectiveMillis());
+    return Math.min(longest, LOOK_AGAIN + longest * call.statistics.leader.overloadLevel);
   }
 
   /** The request has its answer: copies still out only waste work. */
-  private void over(Call call, double now) {
+  private void over(InFlightRequest call, double now) {
     for (Attempt attempt : call.attempts) {
       if (!call.done
-          && attempt.result == null
+          && attempt.outcome == null
           && !attempt.streaming
-          && settings.limits().cancel()) {
-        actions.cancel(call.id, attempt.number);
+          && settings.limits().cancellation()) {
+        actions.cancelAttempt(call.id, attempt.number);
       }
     }
     call.done = true;
     forgetIfSettled(call, now);
   }
 
-  private void forgetIfSettled(Call call, double now) {
+  private void forgetIfSettled(InFlightRequest call, double now) {
     if (call.running > 0) {
       return;
     }
-    if (call.line != null && now < call.restsUntil) {
-      actions.setTimer(call.id << 8 | HOLD_TIMER, call.restsUntil);
-    } else if (calls.remove(call.id) != null && call.line != null) {
+    if (call.keyQueue != null && now < call.settlesAt) {
+      actions.scheduleTimer(call.id << 8 | HOLD_TIMER, call.settlesAt);
+    } else if (calls.remove(call.id) != null && call.keyQueue != null) {
       leaveLine(call, now);
     }
   }
 
   @Override
-  public void streamStarted(double now, long requestId, int attempt, double elapsed) {
-    Call call = calls.get(requestId);
+  public void responseStarted(double now, long requestId, int attempt, double elapsed) {
+    InFlightRequest call = calls.get(requestId);
     if (call != null && attempt < call.attempts.size()) {
       call.streaming = true;
       call.attempts.get(attempt).streaming = true;
@@ -920,8 +958,8 @@
   }
 
   @Override
-  public void clientGone(double now, long requestId) {
-    Call call = calls.get(requestId);
+  public void clientDisconnected(double now, long requestId) {
+    InFlightRequest call = calls.get(requestId);
     if (call != null) {
       over(call, now);
     }
@@ -933,27 +971,30 @@
   /**
    * Served calls succeed; errors, full, time-outs, failed and reset connections count against s.
    */
-  private void learn(Attempt attempt, Outcome outcome, double now) {
-    Server server = attempt.server;
-    Result result = outcome.result();
+  private void learn(Attempt attempt, AttemptResult outcome, double now) {
+    EndpointStatistics server = attempt.endpoint;
+    AttemptOutcome result = outcome.outcome();
     // The copy that lost is evidence only when overdue, and then the same as a time-out.
-    boolean tooEarly = result == Result.CANCELLED && outcome.elapsed() <= slowAfter(attempt.call);
-    if (result == Result.NOT_SENT || tooEarly) {
+    boolean tooEarly =
+        result == AttemptOutcome.CANCELLED && outcome.elapsedMillis() <= slowAfter(attempt.request);
+    if (result == AttemptOutcome.NOT_SENT || tooEarly) {
       return;
     }
-    server.fade(now, EVIDENCE_FADE, FADE_STEP);
-    server.count(attempt.call.record.index, result == Result.OK);
-    if (result == Result.OK) {
+    server.decay(now, EVIDENCE_FADE, FADE_STEP);
+    server.recordOutcome(attempt.request.statistics.index, result == AttemptOutcome.OK);
+    if (result == AttemptOutcome.OK) {
       if (!attempt.streaming) {
-        observeLatency(attempt, outcome.elapsed());
+        observeLatency(attempt, outcome.elapsedMillis());
       }
-    } else if (result == Result.CANCELLED || result == Result.TIMEOUT) {
-      observeRatio(attempt.call.record, Double.MAX_VALUE);
+    } else if (result == AttemptOutcome.CANCELLED || result == AttemptOutcome.TIMEOUT) {
+      observeRatio(attempt.request.statistics, Double.MAX_VALUE);
     }
   }
 
-  private static double strainedAfter(Call call) {
-    return (STRAINED + call.type.lateWorth()) * call.type.aim() * Math.max(1, call.size());
+  private static double strainedAfter(InFlightRequest call) {
+    return (STRAINED + call.requestClass.lateResponseValue())
+        * call.requestClass.latencyObjectiveMillis()
+        * Math.max(1, call.relativeCost());
   }
 
   /**
@@ -961,11 +1002,11 @@
    * served; each stands for the time since the one before.
    */
   private static void seeUnrefused(Attempt attempt, boolean served, double now) {
-    ClassRecord leader = attempt.call.record.leader;
-    if (attempt.pressure < MOSTLY_SENT) {
-      double kept = Math.exp((leader.unrefusedAt - now) / LONGEST_GAP);
-      leader.servedUnrefused = kept * leader.servedUnrefused + (served ? 1 - kept : 0);
-      leader.unrefusedAt = now;
+    RequestClassStatistics leader = attempt.request.statistics.leader;
+    if (attempt.overloadLevelAtSend < MOSTLY_SENT) {
+      double kept = Math.exp((leader.servedWhileAdmittingAt - now) / LONGEST_GAP);
+      leader.servedWhileAdmitting = kept * leader.servedWhileAdmitting + (served ? 1 - kept : 0);
+      leader.servedWhileAdmittingAt = now;
     }
   }
 
@@ -976,9 +1017,9 @@
    * connections that come up late, refusing one makes no other faster, and those that would have
    * been served are all lost.
    */
-  private static double refused(ClassRecord leader) {
-    double lateBeyondServed = 1 - 2 * leader.servedUnrefused;
-    return Math.min(leader.pressure, Math.max(ON_SIGNS, lateBeyondServed));
+  private static double refused(RequestClassStatistics leader) {
+    double lateBeyondServed = 1 - 2 * leader.servedWhileAdmitting;
+    return Math.min(leader.overloadLevel, Math.max(ON_SIGNS, lateBeyondServed));
   }
 
   /**
@@ -992,29 +1033,31 @@
    * send, or nearly all would be refused for a jam that is over by the time its last calls end.
    */
   private void feelPressure(Attempt attempt, boolean fine, double now) {
-    ClassRecord leader = attempt.call.record.leader;
-    attempt.server.late = !fine;
-    attempt.server.feltAt = now;
+    RequestClassStatistics leader = attempt.request.statistics.leader;
+    attempt.endpoint.late = !fine;
+    attempt.endpoint.lateAt = now;
     if (!fine && !mostAreLate(leader, now)) {
       return;
     }
-    double seconds = Math.min(fine ? Double.MAX_VALUE : LONGEST_GAP, now - leader.feltAt) / 1_000;
-    leader.feltAt = now;
+    double seconds =
+        Math.min(fine ? Double.MAX_VALUE : LONGEST_GAP, now - leader.overloadUpdatedAt) / 1_000;
+    leader.overloadUpdatedAt = now;
     if (fine) {
-      leader.pressure = Math.max(0, leader.pressure - PRESSURE_DOWN * seconds);
+      leader.overloadLevel = Math.max(0, leader.overloadLevel - PRESSURE_DOWN * seconds);
     } else {
-      double most = Math.min(MOST_PRESSURE, attempt.pressure + PRESSURE_STEP);
-      leader.pressure =
-          Math.max(leader.pressure, Math.min(most, leader.pressure + PRESSURE_UP * seconds));
+      double most = Math.min(MOST_PRESSURE, attempt.overloadLevelAtSend + PRESSURE_STEP);
+      leader.overloadLevel =
+          Math.max(
+              leader.overloadLevel, Math.min(most, leader.overloadLevel + PRESSURE_UP * seconds));
     }
   }
 
   /** Whether the servers open to a class that have most of the calls of late were late at last. */
-  private boolean mostAreLate(ClassRecord c, double now) {
+  private boolean mostAreLate(RequestClassStatistics c, double now) {
     double balance = 0;
-    for (Server server : ready) {
-      if (c.type.admits(server.listed) && now - server.feltAt < EVIDENCE_FADE) {
-        double own = server.tries + server.out.size();
+    for (EndpointStatistics server : ready) {
+      if (c.type.allows(server.endpoint) && now - server.lateAt < EVIDENCE_FADE) {
+        double own = server.attempts + server.inFlight.size();
         balance += server.late ? own : -own;
       }
     }
@@ -1022,87 +1065,91 @@
   }
 
   private void observeLatency(Attempt attempt, double elapsed) {
-    Call call = attempt.call;
-    Server server = attempt.server;
+    InFlightRequest call = attempt.request;
+    EndpointStatistics server = attempt.endpoint;
     double perHint = Math.max(LEAST_LATENCY, elapsed) / hintFactor(call);
-    double relative = perHint / call.record.latency.value();
-    observeRatio(call.record, relative);
-    call.record.latency.add(perHint / server.base(BASE_POOL));
+    double relative = perHint / call.statistics.latency.value();
+    observeRatio(call.statistics, relative);
+    call.statistics.latency.add(perHint / server.relativeLatency(BASE_POOL));
     server.latencySum += relative;
     server.latencyCount += 1;
-    server.crowdSum += attempt.behind;
-    server.kind.latency.add(relative);
+    server.concurrencySum += attempt.concurrencyAtSend;
+    server.machineType.latency.add(relative);
   }
 
   /**
    * Moves the estimate of the latency over the expected one that only SLOW_SHARE of calls exceed.
    */
-  private static void observeRatio(ClassRecord c, double ratio) {
+  private static void observeRatio(RequestClassStatistics c, double ratio) {
     double slow =
         c.slowRatio * (1 + SLOW_STEP * (ratio > c.slowRatio ? 1 - SLOW_SHARE : -SLOW_SHARE));
     c.slowRatio = Math.min(MOST_SLOW_RATIO, Math.max(LEAST_SLOW_RATIO, slow));
   }
 
-  private static double hintFactor(Call call) {
-    return 1 - HINT_SHARE + HINT_SHARE * call.size();
+  private static double hintFactor(InFlightRequest call) {
+    return 1 - HINT_SHARE + HINT_SHARE * call.relativeCost();
   }
 
-  private static double expected(Call call) {
-    return call.record.latency.value() * hintFactor(call);
+  private static double expected(InFlightRequest call) {
+    return call.statistics.latency.value() * hintFactor(call);
   }
 
-  private static double slowAfter(Call call) {
-    return expected(call) * call.record.slowRatio;
+  private static double slowAfter(InFlightRequest call) {
+    return expected(call) * call.statistics.slowRatio;
   }
 
   // ---- The list of servers
   // -----------------------------------------------------------------------
 
   @Override
-  public void upstreamsChanged(double now, Change change, List<Upstream> upstreams) {
+  public void endpointsChanged(double now, EndpointUpdateType change, List<Endpoint> upstreams) {
     heardAt = now;
     if (!upstreams.isEmpty()) {
-      trust = DOUBT_AFTER * settings.rules().askEvery();
+      trust = DOUBT_AFTER * settings.rules().pollIntervalMillis();
     }
-    if (change == Change.FAILED) {
+    if (change == EndpointUpdateType.FAILED) {
       double wait =
-          Math.min(ASK_AGAIN, ASK_SOON * Math.pow(2, failures)) * settings.rules().askEvery();
-      if (!settings.subscribe()) {
-        wait = Math.min(wait, ASK_PUSHED * settings.rules().drainGrace());
+          Math.min(ASK_AGAIN, ASK_SOON * Math.pow(2, failures))
+              * settings.rules().pollIntervalMillis();
+      if (!settings.explicitWatch()) {
+        wait = Math.min(wait, ASK_PUSHED * settings.rules().drainGraceMillis());
       }
       wait = Math.min(wait, ASK_AT_LATEST);
       failures++;
-      actions.setTimer(WATCH_TOKEN, now + wait * (1 + random.nextDouble()));
+      actions.scheduleTimer(WATCH_TOKEN, now + wait * (1 + random.nextDouble()));
       return;
     }
     failures = 0;
-    Map<Long, Server> before = new LinkedHashMap<>(servers);
-    if (change != Change.DELTA) {
+    Map<Long, EndpointStatistics> before = new LinkedHashMap<>(servers);
+    if (change != EndpointUpdateType.DELTA) {
       servers.clear();
     }
-    for (Upstream upstream : upstreams) {
-      Server known = before.get(upstream.id());
-      if (upstream.state() == State.REMOVED) {
+    for (Endpoint upstream : upstreams) {
+      EndpointStatistics known = before.get(upstream.id());
+      if (upstream.state() == EndpointState.REMOVED) {
         servers.remove(upstream.id());
-      } else if (known == null || known.listed.startedAt() != upstream.startedAt()) {
+      } else if (known == null || known.endpoint.startedAtMillis() != upstream.startedAtMillis()) {
         // A restart is a new server: cold, with a clean record.
-        Server.Kind kind = kinds[Math.min(upstream.kind(), kinds.length - 1)];
+        MachineTypeStatistics kind = kinds[Math.min(upstream.machineType(), kinds.length - 1)];
         // Siblings begin to add up its chances at even distances: no more turns at once than must
         // be.
         double first =
             new SplittableRandom(upstream.id()).nextDouble()
-                + (double) settings.position() / Math.max(1, settings.siblings());
-        servers.put(upstream.id(), new Server(upstream, kind, classes.length, now, first % 1));
-        if (upstream.startedAt() != 0) {
-          coldUntil = Math.max(coldUntil, upstream.startedAt() + settings.rules().warmUp());
+                + (double) settings.instanceIndex() / Math.max(1, settings.instanceCount());
+        servers.put(
+            upstream.id(), new EndpointStatistics(upstream, kind, classes.length, now, first % 1));
+        if (upstream.startedAtMillis() != 0) {
+          coldUntil =
+              Math.max(coldUntil, upstream.startedAtMillis() + settings.rules().warmUpMillis());
         }
       } else {
-        known.listed = upstream;
+        known.endpoint = upstream;
         servers.put(upstream.id(), known);
       }
     }
     // Rule 3: only ready servers are ever drawn; what drains or is gone leaves at once.
-    ready = servers.values().stream().filter(s -> s.listed.state() == State.READY).toList();
+    ready =
+        servers.values().stream().filter(s -> s.endpoint.state() == EndpointState.READY).toList();
     chooseSubset();
   }
 
@@ -1113,17 +1160,17 @@
    */
   private void chooseSubset() {
     stride = (int) Math.max(1, ready.size() / SUBSET);
-    long round = settings.position() / stride;
-    List<Server> ordered = new ArrayList<>(ready);
+    long round = settings.instanceIndex() / stride;
+    List<EndpointStatistics> ordered = new ArrayList<>(ready);
     ordered.forEach(
         server ->
-            server.weight = new SplittableRandom(server.listed.id() * 31 + round).nextDouble());
+            server.weight = new SplittableRandom(server.endpoint.id() * 31 + round).nextDouble());
     ordered.sort(
-        Comparator.<Server>comparingInt(server -> server.listed.zone())
-            .thenComparingInt(server -> server.listed.kind())
+        Comparator.<EndpointStatistics>comparingInt(server -> server.endpoint.zone())
+            .thenComparingInt(server -> server.endpoint.machineType())
             .thenComparingDouble(server -> server.weight));
     for (int i = 0; i < ordered.size(); i++) {
-      ordered.get(i).preferred = (i + settings.position()) % stride == 0;
+      ordered.get(i).inSubset = (i + settings.instanceIndex()) % stride == 0;
     }
   }
 }
--- a/src/main/java/cranedeal/node/Exchange.java
+++ b/src/main/java/loadbalancer/proxy/InFlightExchange.java
@@ -1,4 +1,4 @@
-package cranedeal.node;
+package loadbalancer.proxy;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -8,9 +8,11 @@
 import java.util.Objects;
 import java.util.concurrent.Future;
 import java.util.function.Consumer;
+import loadbalancer.proxy.frontend.RequestDispatcher;
+import loadbalancer.proxy.upstream.UpstreamClient;
 
 /** A request from its arrival until it has its one answer and none of its attempts is out. */
-final class Exchange implements RequestDispatcher.DispatchedRequest {
+final class InFlightExchange implements RequestDispatcher.DispatchedRequest {
 
   final long id;
   final FullHttpRequest request;
@@ -21,29 +23,29 @@
    * How many attempts were asked for, and how many of them are out; one not sent is null in the
    * list.
    */
-  int sends;
+  int attemptCount;
 
-  int running;
-  Future<?> overdue;
-  private final Consumer<Exchange> onClientDisconnected;
-  private RequestDispatcher.Responder caller;
+  int runningAttempts;
+  Future<?> overdueTimer;
+  private final Consumer<InFlightExchange> onClientDisconnected;
+  private RequestDispatcher.Responder responder;
 
-  Exchange(
+  InFlightExchange(
       long id,
       FullHttpRequest request,
       double deadline,
       RequestDispatcher.Responder caller,
-      Consumer<Exchange> onClientDisconnected) {
+      Consumer<InFlightExchange> onClientDisconnected) {
     this.id = id;
     this.request = request;
     this.deadline = deadline;
-    this.caller = caller;
+    this.responder = caller;
     this.onClientDisconnected = onClientDisconnected;
   }
 
   @Override
   public boolean isOpen() {
-    return caller != null;
+    return responder != null;
   }
 
   @Override
@@ -52,18 +54,18 @@
   }
 
   /** Whether a client waits for an answer and has not left just now, which is yet to be told. */
-  boolean isAwaited() {
-    return caller != null && caller.waits();
+  boolean isClientConnected() {
+    return responder != null && responder.isConnected();
   }
 
   /** Answers unless that is done already or nobody waits any more; tells whether it did. */
-  boolean answer(HttpResponseStatus status, ByteBuf body, double retryAfter) {
-    RequestDispatcher.Responder waiting = caller;
+  boolean respond(HttpResponseStatus status, ByteBuf body, double retryAfter) {
+    RequestDispatcher.Responder waiting = responder;
     if (waiting == null) {
       return false;
     }
     close();
-    waiting.answer(status, body, retryAfter);
+    waiting.respond(status, body, retryAfter);
     return true;
   }
 
@@ -72,9 +74,9 @@
    * not the module may call off what is out.
    */
   void close() {
-    caller = null;
-    if (overdue != null) {
-      overdue.cancel(false);
+    responder = null;
+    if (overdueTimer != null) {
+      overdueTimer.cancel(false);
     }
     attempts.stream().filter(Objects::nonNull).forEach(UpstreamClient.Attempt::withdraw);
   }
--- a/src/main/java/cranedeal/node/Main.java
+++ b/src/main/java/loadbalancer/proxy/Main.java
@@ -1,10 +1,13 @@
-package cranedeal.node;
+package loadbalancer.proxy;
 
 import java.lang.reflect.Proxy;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
+import loadbalancer.proxy.config.ConfigurationException;
+import loadbalancer.proxy.config.ProxyConfig;
+import loadbalancer.proxy.logging.ProxyLogger;
 
 /**
  * The command line: {@code serve} runs one balancer, {@code wire} the same decisions for the
@@ -17,23 +20,23 @@
   /** Runs the subcommand that the arguments name. */
   public static void main(String[] args) throws InterruptedException {
     if (args.length == 1 && args[0].equals("wire")) {
-      cranedeal.wire.Main.main(args);
+      loadbalancer.simulation.SimulationMain.main(args);
     } else if (args.length == 1 && args[0].equals("serve")) {
       serve();
     } else {
-      exit("usage: java -jar sablehinge.jar serve | wire", 2);
+      exit("usage: java -jar load-balancer.jar serve | wire", 2);
     }
   }
 
   private static void serve() throws InterruptedException {
-    CompletableFuture<Node> started = new CompletableFuture<>();
+    CompletableFuture<ProxyServer> started = new CompletableFuture<>();
     reloadAtHangup(started);
     try {
-      Node node = Node.prepare(NodeConfig.read(System.getenv("PROXY_CONFIG")));
+      ProxyServer node = ProxyServer.prepare(ProxyConfig.read(System.getenv("PROXY_CONFIG")));
       serve(node);
       started.complete(node);
-    } catch (ConfigException e) {
-      exit("sablehinge: " + e.getMessage(), 1);
+    } catch (ConfigurationException e) {
+      exit("load-balancer: " + e.getMessage(), 1);
     } catch (IllegalStateException e) {
       ProxyLogger.LOGGER.info("ends before it has begun to serve");
     }
@@ -46,7 +49,7 @@
    * ahead of the first caller; once the virtual machine is to end, it can't be set or taken back
    * any more.
    */
-  private static void serve(Node node) throws ConfigException, InterruptedException {
+  private static void serve(ProxyServer node) throws ConfigurationException, InterruptedException {
     Thread drain =
         new Thread(
             () -> {
@@ -60,7 +63,7 @@
     Runtime.getRuntime().addShutdownHook(drain);
     try {
       node.serve();
-    } catch (ConfigException e) {
+    } catch (ConfigurationException e) {
       Runtime.getRuntime().removeShutdownHook(drain);
       throw e;
     }
@@ -71,7 +74,7 @@
    * that the configuration was replaced. The file is read off the node's loop, one reading after
    * another, so that the last signal sees the last file. One that is of no use changes nothing.
    */
-  private static void reloadAtHangup(CompletableFuture<Node> started) {
+  private static void reloadAtHangup(CompletableFuture<ProxyServer> started) {
     ExecutorService readings =
         Executors.newSingleThreadExecutor(
             work -> {
@@ -84,9 +87,9 @@
             readings.execute(
                 () -> {
                   try {
-                    Node node = started.join();
-                    node.reload(NodeConfig.read(System.getenv("PROXY_CONFIG")));
-                  } catch (ConfigException | RuntimeException e) {
+                    ProxyServer node = started.join();
+                    node.reload(ProxyConfig.read(System.getenv("PROXY_CONFIG")));
+                  } catch (ConfigurationException | RuntimeException e) {
                     ProxyLogger.LOGGER.warning(
                         "the configuration stays as it was: " + e.getMessage());
                   }
@@ -110,7 +113,7 @@
           .getMethod("handle", signal, handler)
           .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handling);
     } catch (ReflectiveOperationException e) {
-      exit("sablehinge: SIGHUP can't be handled: " + e, 1);
+      exit("load-balancer: SIGHUP can't be handled: " + e, 1);
     }
   }
 
--- a/src/main/java/cranedeal/node/Node.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -1,14 +1,5 @@
-package cranedeal.node;
-
-import cranedeal.LatencyWeightedBalancer;
-import cranedeal.LoadBalancer;
-import cranedeal.LoadBalancer.Change;
-import cranedeal.LoadBalancer.Outcome;
-import cranedeal.LoadBalancer.Reports;
-import cranedeal.LoadBalancer.Request;
-import cranedeal.LoadBalancer.Result;
-import cranedeal.LoadBalancer.ServiceClass;
-import cranedeal.LoadBalancer.Upstream;
+package loadbalancer.proxy;
+
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.buffer.Unpooled;
@@ -30,13 +21,37 @@
 import java.util.function.BiFunction;
 import java.util.function.Function;
 import java.util.logging.Level;
+import loadbalancer.model.AttemptOutcome;
+import loadbalancer.model.AttemptResult;
+import loadbalancer.model.ClientRequest;
+import loadbalancer.model.Endpoint;
+import loadbalancer.model.EndpointUpdateType;
+import loadbalancer.model.LoadReportMode;
+import loadbalancer.model.RequestClass;
+import loadbalancer.policy.LatencyWeightedPolicy;
+import loadbalancer.policy.LoadBalancingPolicy;
+import loadbalancer.policy.PolicyActions;
+import loadbalancer.proxy.config.ConfigurationException;
+import loadbalancer.proxy.config.ProxyConfig;
+import loadbalancer.proxy.discovery.DiscoveryClient;
+import loadbalancer.proxy.discovery.EndpointListUpdate;
+import loadbalancer.proxy.eventloop.Clock;
+import loadbalancer.proxy.eventloop.DescriptorBudget;
+import loadbalancer.proxy.eventloop.EventLoopMonitor;
+import loadbalancer.proxy.frontend.Frontend;
+import loadbalancer.proxy.frontend.RequestDispatcher;
+import loadbalancer.proxy.logging.LogRateLimiter;
+import loadbalancer.proxy.logging.ProxyLogger;
+import loadbalancer.proxy.protocol.ProtocolHeaders;
+import loadbalancer.proxy.upstream.LoadReportParser;
+import loadbalancer.proxy.upstream.UpstreamClient;
 
 /**
  * One balancer: owns the decision module, tells it what happens on the sockets and carries out what
  * it asks for. It decides nothing itself. All of it runs on one event loop thread, so nothing is
  * locked.
  */
-final class Node implements LoadBalancer.Actions, RequestDispatcher {
+public final class ProxyServer implements PolicyActions, RequestDispatcher {
 
   /** Netty's pool of direct memory: one arena, as there is one thread, in chunks of 512 KiB. */
   private static final int PAGE = 8_192;
@@ -76,15 +91,15 @@
   /** How long an answer of discovery may lie unread while the loop is busy with other events. */
   private static final double DISCOVERY_POLL_MS = 10;
 
-  private final NodeConfig config;
+  private final ProxyConfig config;
   private final EventLoop loop;
   private final EventLoopMonitor monitor;
   private final Clock clock = new Clock();
-  private final LoadBalancer balancer;
+  private final LoadBalancingPolicy balancer;
   private final UpstreamClient upstreams;
-  private final Discovery discovery;
+  private final DiscoveryClient discovery;
   private final Frontend frontend;
-  private final Map<Long, Exchange> exchanges = new HashMap<>();
+  private final Map<Long, InFlightExchange> exchanges = new HashMap<>();
   private final ArrayDeque<Event> events = new ArrayDeque<>();
 
   /** Open until discovery has told something. */
@@ -97,40 +112,40 @@
   private double discoveryPolledAt = Double.NEGATIVE_INFINITY;
 
   /** The request that the module's present call is about, if it is about one. */
-  private Exchange subject;
+  private InFlightExchange subject;
 
   /** Something to tell the module, and the request that it is about or null. */
-  private record Event(Exchange about, Runnable call) {}
+  private record Event(InFlightExchange about, Runnable call) {}
 
-  private Node(
-      NodeConfig config,
+  private ProxyServer(
+      ProxyConfig config,
       EventLoop loop,
       EventLoopMonitor monitor,
-      Function<LoadBalancer.Actions, LoadBalancer> module) {
+      Function<PolicyActions, LoadBalancingPolicy> module) {
     this.config = config;
     this.loop = loop;
     this.monitor = monitor;
     // Written by the loop and, of a reload, by one more thread: a count may be off, which does no
     // harm.
-    ProxyLogger.LOGGER.setFilter(new LogLimit(clock::now));
+    ProxyLogger.LOGGER.setFilter(new LogRateLimiter(clock::now));
     PooledByteBufAllocator memory =
         new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, CACHED, CACHED, false);
-    Sockets sockets = new Sockets(config.sockets());
+    DescriptorBudget sockets = new DescriptorBudget(config.maxDescriptors());
     balancer = module.apply(this);
     upstreams = new UpstreamClient(loop, clock, config.settings(), sockets, memory);
     discovery =
-        new Discovery(
+        new DiscoveryClient(
             loop,
             config,
             memory,
             this::told,
-            () -> sockets.makeRoom(clock.now()),
-            Discovery.WATCH_MS);
+            () -> sockets.evictIdleConnections(clock.now()),
+            DiscoveryClient.WATCH_MS);
     frontend = new Frontend(loop, config, sockets, memory, this, monitor);
   }
 
-  static Node prepare(NodeConfig config) throws InterruptedException {
-    return prepare(config, LatencyWeightedBalancer::new, FIRST_NEWS_MS);
+  static ProxyServer prepare(ProxyConfig config) throws InterruptedException {
+    return prepare(config, LatencyWeightedPolicy::new, FIRST_NEWS_MS);
   }
 
   /**
@@ -138,8 +153,8 @@
    * the agent has counts as told by now: the known list may be old, and nobody is to be let in
    * before that shows or discovery has been given its time.
    */
-  static Node prepare(
-      NodeConfig config, Function<LoadBalancer.Actions, LoadBalancer> module, long firstNewsMillis)
+  static ProxyServer prepare(
+      ProxyConfig config, Function<PolicyActions, LoadBalancingPolicy> module, long firstNewsMillis)
       throws InterruptedException {
     EventLoopMonitor monitor = new EventLoopMonitor(System::nanoTime);
     EventLoop loop =
@@ -149,9 +164,9 @@
                     new DefaultThreadFactory("node", true),
                     monitor.watch(NioIoHandler.newFactory()))
                 .next();
-    Node node = new Node(config, loop, monitor, module);
+    ProxyServer node = new ProxyServer(config, loop, monitor, module);
     loop.submit(node::begin).sync();
-    if (!config.settings().subscribe()
+    if (!config.settings().explicitWatch()
         && !node.untold.await(firstNewsMillis, TimeUnit.MILLISECONDS)) {
       ProxyLogger.LOGGER.warning("discovery says nothing: the known list has to do");
     }
@@ -159,22 +174,26 @@
   }
 
   /** Lets callers in; it serves once this returns. */
-  void serve() throws ConfigException, InterruptedException {
+  void serve() throws ConfigurationException, InterruptedException {
     frontend.bind();
     // The first line loads what logging needs, which later, with no descriptor left, would fail.
     ProxyLogger.LOGGER.info("serves as " + config.name());
   }
 
   private void begin() {
-    Roster known = new Roster(config.known().version(), true, config.known().members());
+    EndpointListUpdate known =
+        new EndpointListUpdate(
+            config.knownEndpoints().version(), true, config.knownEndpoints().entries());
     upstreams.update(known, clock.now());
     loop.scheduleAtFixedRate(
         this::reportLateness, LATENESS_REPORT_MS, LATENESS_REPORT_MS, TimeUnit.MILLISECONDS);
-    tell(null, () -> balancer.start(clock.now(), config.settings(), config.seed()));
-    tell(null, () -> balancer.upstreamsChanged(clock.now(), Change.CACHED, known.upstreams()));
-    if (!config.settings().subscribe()) {
+    sendToPeer(null, () -> balancer.start(clock.now(), config.settings(), config.seed()));
+    sendToPeer(
+        null,
+        () -> balancer.endpointsChanged(clock.now(), EndpointUpdateType.CACHED, known.endpoints()));
+    if (!config.settings().explicitWatch()) {
       // Where news comes to a module unasked, it still has to be fetched over the socket.
-      watch(true);
+      watchEndpoints(true);
     }
   }
 
@@ -195,7 +214,7 @@
   }
 
   /** Where it listens. */
-  InetSocketAddress address() {
+  public InetSocketAddress address() {
     return frontend.address();
   }
 
@@ -207,7 +226,10 @@
    */
   void drain() throws InterruptedException {
     double longest =
-        config.settings().classes().stream().mapToDouble(ServiceClass::deadline).max().orElse(0);
+        config.settings().requestClasses().stream()
+            .mapToDouble(RequestClass::deadlineMillis)
+            .max()
+            .orElse(0);
     double begun = clock.now();
     double latest = begun + Math.min(longest, LONGEST_DRAIN_MS) + DRAIN_SLACK_MS;
     Thread.sleep((long) Math.max(LATE_CONNECTIONS_MS, latest - begun - LAST_ANSWERS_MS));
@@ -228,7 +250,7 @@
   void end() {
     frontend.end();
     List.copyOf(exchanges.values()).stream()
-        .filter(Exchange::isOpen)
+        .filter(InFlightExchange::isOpen)
         .forEach(exchange -> fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT));
   }
 
@@ -238,12 +260,12 @@
   }
 
   /** Takes over what may change while a balancer runs, which is where discovery is. */
-  void reload(NodeConfig changed) {
+  public void reload(ProxyConfig changed) {
     loop.execute(() -> discovery.moveTo(changed.discovery()));
   }
 
   /** Its parts, for tests; they are to be used on the loop only. */
-  <T> T onLoop(BiFunction<Frontend, UpstreamClient, T> look) throws InterruptedException {
+  public <T> T onLoop(BiFunction<Frontend, UpstreamClient, T> look) throws InterruptedException {
     return loop.submit(() -> look.apply(frontend, upstreams)).sync().getNow();
   }
 
@@ -259,7 +281,7 @@
    * Tells the module of an event. An action may cause an event at once, such as a connection that
    * is refused; it waits here until the module has returned from the call in which it acted.
    */
-  private void tell(Exchange about, Runnable call) {
+  private void sendToPeer(InFlightExchange about, Runnable call) {
     if (!deciding) {
       pollDiscovery();
     }
@@ -306,7 +328,7 @@
   }
 
   /** A call of the module broke off: what it was about fails, as nobody knows what has run. */
-  private void broken(Exchange about, Throwable cause) {
+  private void broken(InFlightExchange about, Throwable cause) {
     ProxyLogger.LOGGER.log(Level.SEVERE, "the decision module failed", cause);
     if (about != null && about.isOpen()) {
       fail(about, HttpResponseStatus.INTERNAL_SERVER_ERROR);
@@ -314,26 +336,26 @@
   }
 
   /** Fails a request over the module's head and tells it that the client waits no more. */
-  private void fail(Exchange exchange, HttpResponseStatus status) {
-    exchange.answer(status, Unpooled.EMPTY_BUFFER, 0);
-    exchange.attempts.forEach(Node::cancel);
-    tell(null, () -> balancer.clientGone(clock.now(), exchange.id));
+  private void fail(InFlightExchange exchange, HttpResponseStatus status) {
+    exchange.respond(status, Unpooled.EMPTY_BUFFER, 0);
+    exchange.attempts.forEach(ProxyServer::cancel);
+    sendToPeer(null, () -> balancer.clientDisconnected(clock.now(), exchange.id));
     settle(exchange);
   }
 
   /**
    * Takes in news; throws if the module did not take the list, which then has to be asked for anew.
    */
-  private void told(Change change, Roster roster) {
-    List<Upstream> entries = roster == null ? List.of() : roster.upstreams();
+  private void told(EndpointUpdateType change, EndpointListUpdate roster) {
+    List<Endpoint> entries = roster == null ? List.of() : roster.endpoints();
     if (roster != null) {
       upstreams.update(roster, toldSince());
     }
     boolean[] taken = new boolean[1];
-    tell(
+    sendToPeer(
         null,
         () -> {
-          balancer.upstreamsChanged(clock.now(), change, entries);
+          balancer.endpointsChanged(clock.now(), change, entries);
           taken[0] = true;
         });
     if (roster != null) {
@@ -347,20 +369,21 @@
   /** Takes a request in; the node owns a reference to {@code message} from here on. */
   @Override
   public DispatchedRequest dispatch(
-      Function<Long, Request> description, FullHttpRequest message, Responder caller) {
-    Request request = description.apply(++lastId);
-    Exchange exchange =
-        new Exchange(request.id(), message, request.deadline(), caller, this::clientGone);
+      Function<Long, ClientRequest> description, FullHttpRequest message, Responder caller) {
+    ClientRequest request = description.apply(++lastId);
+    InFlightExchange exchange =
+        new InFlightExchange(
+            request.id(), message, request.deadlineMillis(), caller, this::clientGone);
     exchanges.put(exchange.id, exchange);
-    double latest = exchange.deadline + config.settings().rules().answerGrace() / 2;
-    exchange.overdue =
+    double latest = exchange.deadline + config.settings().rules().responseGraceMillis() / 2;
+    exchange.overdueTimer =
         loop.schedule(() -> overdue(exchange), clock.nanosUntil(latest), TimeUnit.NANOSECONDS);
-    tell(exchange, () -> balancer.request(clock.now(), request));
+    sendToPeer(exchange, () -> balancer.requestArrived(clock.now(), request));
     return exchange;
   }
 
   /** The module has left a request without its answer; it must not stay so. */
-  private void overdue(Exchange exchange) {
+  private void overdue(InFlightExchange exchange) {
     if (exchange.isOpen()) {
       ProxyLogger.LOGGER.warning("a request was left without an answer");
       fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT);
@@ -368,10 +391,10 @@
   }
 
   /** The client has closed its connection. */
-  private void clientGone(Exchange exchange) {
+  private void clientGone(InFlightExchange exchange) {
     if (exchange.isOpen()) {
       exchange.close();
-      tell(exchange, () -> balancer.clientGone(clock.now(), exchange.id));
+      sendToPeer(exchange, () -> balancer.clientDisconnected(clock.now(), exchange.id));
       settle(exchange);
     }
   }
@@ -380,36 +403,36 @@
    * Whether a request is still worth an attempt: its client may have left with no word of it so
    * far.
    */
-  private boolean isAwaited(Exchange exchange) {
-    if (exchange.isOpen() && !exchange.isAwaited()) {
+  private boolean isAwaited(InFlightExchange exchange) {
+    if (exchange.isOpen() && !exchange.isClientConnected()) {
       clientGone(exchange);
     }
     return exchange.isOpen();
   }
 
   private void finished(
-      Exchange exchange,
+      InFlightExchange exchange,
       int number,
       long upstream,
       double sentAt,
-      Result result,
+      AttemptOutcome result,
       FullHttpResponse response) {
-    exchange.running--;
+    exchange.runningAttempts--;
     double[] report =
-        response == null || config.settings().reports() != Reports.PIGGYBACK
+        response == null || config.settings().loadReportMode() != LoadReportMode.PIGGYBACK
             ? null
-            : LoadReport.parse(
+            : LoadReportParser.parse(
                 response.headers().get(ProtocolHeaders.LOAD_REPORT),
-                config.settings().reportFields());
-    if (result == Result.OK) {
-      exchange.answer(HttpResponseStatus.OK, response.content(), 0);
+                config.settings().loadReportFields());
+    if (result == AttemptOutcome.OK) {
+      exchange.respond(HttpResponseStatus.OK, response.content(), 0);
     }
-    tell(
+    sendToPeer(
         exchange,
         () ->
             balancer.attemptFinished(
                 clock.now(),
-                new Outcome(
+                new AttemptResult(
                     exchange.id,
                     number,
                     upstream,
@@ -421,8 +444,10 @@
   }
 
   /** Forgets a request once nothing more can come of it. */
-  private void settle(Exchange exchange) {
-    if (!exchange.isOpen() && exchange.running == 0 && exchanges.remove(exchange.id) != null) {
+  private void settle(InFlightExchange exchange) {
+    if (!exchange.isOpen()
+        && exchange.runningAttempts == 0
+        && exchanges.remove(exchange.id) != null) {
       exchange.request.release();
     }
   }
@@ -436,27 +461,27 @@
   // ------------------------------------------------------------------
 
   @Override
-  public void send(long requestId, long upstream, double timeout) {
-    Exchange exchange = exchanges.get(requestId);
+  public void sendAttempt(long requestId, long upstream, double timeout) {
+    InFlightExchange exchange = exchanges.get(requestId);
     if (exchange == null) {
       return;
     }
     double now = clock.now();
-    int number = exchange.sends++;
-    exchange.running++;
+    int number = exchange.attemptCount++;
+    exchange.runningAttempts++;
     if (!isAwaited(exchange)
         || now >= exchange.deadline
         || number >= config.settings().limits().maxAttempts()) {
       exchange.attempts.add(null);
-      finished(exchange, number, upstream, now, Result.NOT_SENT, null);
+      finished(exchange, number, upstream, now, AttemptOutcome.NOT_SENT, null);
       return;
     }
     double until = timeout == 0 ? exchange.deadline : Math.min(exchange.deadline, now + timeout);
     UpstreamClient.Listener listener =
         new UpstreamClient.Listener() {
           @Override
-          public void finished(Result result, FullHttpResponse response) {
-            Node.this.finished(exchange, number, upstream, now, result, response);
+          public void finished(AttemptOutcome result, FullHttpResponse response) {
+            ProxyServer.this.finished(exchange, number, upstream, now, result, response);
           }
 
           @Override
@@ -469,26 +494,26 @@
   }
 
   @Override
-  public void refuse(long requestId, double retryAfter) {
+  public void reject(long requestId, double retryAfter) {
     answer(requestId, HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfter);
   }
 
   @Override
-  public void fail(long requestId) {
+  public void failRequest(long requestId) {
     answer(requestId, HttpResponseStatus.BAD_GATEWAY, 0);
   }
 
   private void answer(long requestId, HttpResponseStatus status, double retryAfter) {
-    Exchange exchange = exchanges.get(requestId);
+    InFlightExchange exchange = exchanges.get(requestId);
     if (exchange != null) {
-      exchange.answer(status, Unpooled.EMPTY_BUFFER, retryAfter);
+      exchange.respond(status, Unpooled.EMPTY_BUFFER, retryAfter);
       settle(exchange);
     }
   }
 
   @Override
-  public void cancel(long requestId, int attempt) {
-    Exchange exchange = exchanges.get(requestId);
+  public void cancelAttempt(long requestId, int attempt) {
+    InFlightExchange exchange = exchanges.get(requestId);
     if (exchange != null && attempt < exchange.attempts.size()) {
       cancel(exchange.attempts.get(attempt));
     }
@@ -501,53 +526,53 @@
   }
 
   @Override
-  public void probe(long upstream) {
+  public void checkHealth(long upstream) {
     double sentAt = clock.now();
-    double until = sentAt + config.settings().limits().connectTimeout() * 2;
+    double until = sentAt + config.settings().limits().connectTimeoutMillis() * 2;
     upstreams.probe(
         upstream,
         until,
         (result, response) -> {
-          ByteBuf body = result == Result.OK ? response.content() : Unpooled.EMPTY_BUFFER;
+          ByteBuf body = result == AttemptOutcome.OK ? response.content() : Unpooled.EMPTY_BUFFER;
           double[] report =
-              LoadReport.parse(
-                  body.toString(StandardCharsets.UTF_8), config.settings().reportFields());
-          tell(
+              LoadReportParser.parse(
+                  body.toString(StandardCharsets.UTF_8), config.settings().loadReportFields());
+          sendToPeer(
               null,
               () ->
-                  balancer.probeResult(
+                  balancer.healthCheckCompleted(
                       clock.now(), upstream, result, clock.now() - sentAt, report));
         });
   }
 
   @Override
-  public void closeIdle(long upstream) {
+  public void closeIdleConnections(long upstream) {
     upstreams.closeIdle(upstream);
   }
 
   @Override
-  public void fetch() {
+  public void fetchEndpoints() {
     discovery.fetch();
   }
 
   @Override
-  public void watch(boolean on) {
+  public void watchEndpoints(boolean on) {
     discovery.watch(on);
   }
 
   @Override
-  public void setTimer(long token, double at) {
+  public void scheduleTimer(long token, double at) {
     // The number and not the request itself, which the timer would keep in memory until it is due.
     long about = subject == null ? 0 : subject.id;
     loop.schedule(
-        () -> tell(exchanges.get(about), () -> balancer.timer(clock.now(), token)),
+        () -> sendToPeer(exchanges.get(about), () -> balancer.timerExpired(clock.now(), token)),
         clock.nanosUntil(at),
         TimeUnit.NANOSECONDS);
   }
 
   /** Balancers of this deployment have no way to talk to each other. */
   @Override
-  public void tell(int peer, byte[] payload) {
+  public void sendToPeer(int peer, byte[] payload) {
     ProxyLogger.LOGGER.warning("the module wants to talk to its peers, which it can't here");
   }
 
--- a/src/main/java/cranedeal/node/ConfigException.java
+++ b/src/main/java/loadbalancer/proxy/config/ConfigurationException.java
@@ -1,13 +1,13 @@
-package cranedeal.node;
+package loadbalancer.proxy.config;
 
 /**
  * The node was started with a configuration that it cannot run on; the message is for its operator.
  */
-final class ConfigException extends Exception {
+public final class ConfigurationException extends Exception {
 
   private static final long serialVersionUID = 1;
 
-  ConfigException(String message) {
+  public ConfigurationException(String message) {
     super(message);
   }
 }
--- a/src/main/java/cranedeal/node/NodeConfig.java
+++ b/src/main/java/loadbalancer/proxy/config/ProxyConfig.java
@@ -1,9 +1,6 @@
-package cranedeal.node;
+package loadbalancer.proxy.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import cranedeal.LoadBalancer.Settings;
-import cranedeal.wire.MalformedInputException;
-import cranedeal.wire.SettingsParser;
 import java.io.FileInputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -12,6 +9,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.model.PolicySettings;
+import loadbalancer.proxy.discovery.EndpointListUpdate;
+import loadbalancer.proxy.json.JsonReader;
+import loadbalancer.settings.MalformedInputException;
+import loadbalancer.settings.SettingsParser;
 
 /**
  * What the platform tells a balancer in the file that {@code PROXY_CONFIG} names.
@@ -20,41 +22,42 @@
  * @param zones the names of the zones, by the index that the module uses; likewise the others
  * @param known the upstreams as this balancer last had them
  */
-record NodeConfig(
+public record ProxyConfig(
     String name,
     InetSocketAddress listen,
     InetSocketAddress discovery,
     long seed,
-    int sockets,
-    Settings settings,
+    int maxDescriptors,
+    PolicySettings settings,
     List<String> zones,
-    List<String> kinds,
-    List<String> classes,
+    List<String> machineTypes,
+    List<String> requestClasses,
     List<String> tenants,
-    Roster known) {
+    EndpointListUpdate knownEndpoints) {
 
-  static NodeConfig read(String path) throws ConfigException {
+  public static ProxyConfig read(String path) throws ConfigurationException {
     if (path == null || path.isEmpty()) {
-      throw new ConfigException("PROXY_CONFIG names no file");
+      throw new ConfigurationException("PROXY_CONFIG names no file");
     }
     try (InputStream file = new FileInputStream(path)) {
-      return parse(Json.read(file));
+      return parse(JsonReader.read(file));
     } catch (IOException e) {
       String why = e.getMessage().lines().findFirst().orElse("");
-      throw new ConfigException("cannot read " + path + ": " + why);
+      throw new ConfigurationException("cannot read " + path + ": " + why);
     } catch (IllegalArgumentException | MalformedInputException e) {
-      throw new ConfigException(path + ": " + e.getMessage());
+      throw new ConfigurationException(path + ": " + e.getMessage());
     }
   }
 
-  static NodeConfig parse(JsonNode root) {
+  public static ProxyConfig parse(JsonNode root) {
     JsonNode given = root.path("settings");
     StringBuilder lines = new StringBuilder();
     flatten("", given, lines);
-    Settings settings = SettingsParser.parse(lines.toString().getBytes(StandardCharsets.UTF_8));
+    PolicySettings settings =
+        SettingsParser.parse(lines.toString().getBytes(StandardCharsets.UTF_8));
     List<String> zones = names(given.path("zones"));
     List<String> kinds = names(given.path("machineTypes"));
-    return new NodeConfig(
+    return new ProxyConfig(
         root.path("name").asText("balancer"),
         address(root, "listen"),
         address(root, "discovery"),
@@ -65,12 +68,12 @@
         kinds,
         names(given.path("services")),
         names(given.path("tenants")),
-        Roster.parse(root.path("known"), zones, kinds));
+        EndpointListUpdate.parse(root.path("known"), zones, kinds));
   }
 
   private static InetSocketAddress address(JsonNode root, String key) {
     try {
-      return Roster.address(root.path(key).asText(""));
+      return EndpointListUpdate.address(root.path(key).asText(""));
     } catch (IllegalArgumentException e) {
       throw new IllegalArgumentException(key + ": " + e.getMessage(), e);
     }
--- a/src/main/java/cranedeal/node/Discovery.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -1,6 +1,5 @@
-package cranedeal.node;
+package loadbalancer.proxy.discovery;
 
-import cranedeal.LoadBalancer.Change;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.ByteBufInputStream;
@@ -30,13 +29,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.logging.Level;
+import loadbalancer.model.EndpointUpdateType;
+import loadbalancer.proxy.config.ProxyConfig;
+import loadbalancer.proxy.eventloop.DescriptorBudget;
+import loadbalancer.proxy.json.JsonReader;
+import loadbalancer.proxy.logging.ProxyLogger;
 
 /**
  * Asks discovery for the list of upstreams and watches its changes. Whatever goes wrong with a
- * call, a garbled answer or none at all, is {@link Change#FAILED} once, and the old list holds;
- * when to ask again is the module's decision.
+ * call, a garbled answer or none at all, is {@link EndpointUpdateType#FAILED} once, and the old
+ * list holds; when to ask again is the module's decision.
  */
-final class Discovery {
+public final class DiscoveryClient {
 
   private static final int MAX_LIST = 4 * 1024 * 1024;
   private static final int CONNECT_TIMEOUT_MS = 1_000;
@@ -47,7 +51,7 @@
    * then the list grows old; an answer without news is cheap. Balancers that start together must
    * not ask in step.
    */
-  static final int WATCH_MS = 2_000;
+  public static final int WATCH_MS = 2_000;
 
   private static final int SHORTEST_PART = 2;
 
@@ -60,14 +64,14 @@
   private static final long UNTOLD = -1;
 
   /** What the list is told to. */
-  interface Listener {
+  public interface Listener {
 
     /** News; the roster is null if the call failed. */
-    void told(Change change, Roster roster);
+    void told(EndpointUpdateType change, EndpointListUpdate roster);
   }
 
   private final EventLoop loop;
-  private final NodeConfig config;
+  private final ProxyConfig config;
   private final Listener listener;
   private final Runnable makeRoom;
   private final int watchMillis;
@@ -93,9 +97,9 @@
   private boolean taking;
 
   /** {@code makeRoom} frees descriptors; it is called where there is none for a connection. */
-  Discovery(
+  public DiscoveryClient(
       EventLoop loop,
-      NodeConfig config,
+      ProxyConfig config,
       ByteBufAllocator memory,
       Listener listener,
       Runnable makeRoom,
@@ -107,7 +111,7 @@
     this.watchMillis = watchMillis;
     random = new SplittableRandom(config.seed());
     address = config.discovery();
-    version = config.known().version();
+    version = config.knownEndpoints().version();
     bootstrap =
         new Bootstrap()
             .group(loop)
@@ -139,7 +143,7 @@
    * connection of its own: nothing but the want of an answer tells a dead connection from one with
    * no news.
    */
-  void watch(boolean on) {
+  public void watch(boolean on) {
     watching = on;
     if (watch != null) {
       watch.abandon();
@@ -155,7 +159,7 @@
    * and the new one is asked for its whole list at once: its versions need not go on from the old
    * one's.
    */
-  void moveTo(InetSocketAddress other) {
+  public void moveTo(InetSocketAddress other) {
     if (other.equals(address)) {
       return;
     }
@@ -185,7 +189,7 @@
    */
   private void watchOn() {
     int wait =
-        !failed && (heard || config.settings().subscribe())
+        !failed && (heard || config.settings().explicitWatch())
             ? random.nextInt(watchMillis / SHORTEST_PART, watchMillis + 1)
             : 0;
     int patience = (failed ? watchMillis : wait) + LATE_MS;
@@ -196,7 +200,7 @@
     watch.start(kept);
   }
 
-  private void watched(Roster roster) {
+  private void watched(EndpointListUpdate roster) {
     kept = roster == null ? null : watch.channel;
     watch = null;
     heard |= roster != null;
@@ -214,20 +218,20 @@
    * Takes in at once what the kernel holds of the watch's answer. Does nothing while one is taken
    * in.
    */
-  void poll() {
+  public void poll() {
     if (!taking && watch != null && watch.channel != null) {
-      Sockets.readNow(watch.channel);
+      DescriptorBudget.readNow(watch.channel);
     }
   }
 
   /** Asks once for the whole list. */
-  void fetch() {
+  public void fetch() {
     Call call = new Call("", watchMillis + LATE_MS, null);
     call.end = roster -> fetched(call, roster);
     call.start(null);
   }
 
-  private void fetched(Call call, Roster roster) {
+  private void fetched(Call call, EndpointListUpdate roster) {
     // Nobody asks on this connection again; left open, it would cost a descriptor for good.
     if (call.channel != null) {
       call.channel.close();
@@ -247,11 +251,11 @@
    * call. How much of it was taken in is not known, so that only a whole list will do from there
    * on.
    */
-  private void tell(Roster roster) {
+  private void tell(EndpointListUpdate roster) {
     failed = roster == null;
     if (roster != null) {
       try {
-        listener.told(roster.full() ? Change.FULL : Change.DELTA, roster);
+        listener.told(roster.full() ? EndpointUpdateType.FULL : EndpointUpdateType.DELTA, roster);
         version = roster.version();
       } catch (RuntimeException e) {
         ProxyLogger.LOGGER.log(Level.SEVERE, "a list of upstreams could not be taken in", e);
@@ -260,7 +264,7 @@
       }
     }
     if (failed) {
-      listener.told(Change.FAILED, null);
+      listener.told(EndpointUpdateType.FAILED, null);
     }
   }
 
@@ -271,14 +275,14 @@
     private final InetSocketAddress asked = address;
     private final int patience;
     private Future<?> expiry;
-    private Consumer<Roster> end;
+    private Consumer<EndpointListUpdate> end;
     private Channel channel;
     private boolean over;
 
     /**
      * The answer must be whole within {@code patience}, in ms, from when the question is written.
      */
-    Call(String query, int patience, Consumer<Roster> end) {
+    Call(String query, int patience, Consumer<EndpointListUpdate> end) {
       this.query = query;
       this.patience = patience;
       this.end = end;
@@ -352,7 +356,7 @@
       if (over) {
         return;
       }
-      Roster roster;
+      EndpointListUpdate roster;
       try {
         roster = read(response);
       } catch (IOException | IllegalArgumentException e) {
@@ -365,12 +369,13 @@
       end.accept(roster);
     }
 
-    private Roster read(FullHttpResponse response) throws IOException {
+    private EndpointListUpdate read(FullHttpResponse response) throws IOException {
       if (!response.decoderResult().isSuccess() || response.status().code() != 200) {
         throw new IOException("status " + response.status().code());
       }
       try (InputStream body = new ByteBufInputStream(response.content())) {
-        return Roster.parse(Json.read(body), config.zones(), config.kinds());
+        return EndpointListUpdate.parse(
+            JsonReader.read(body), config.zones(), config.machineTypes());
       }
     }
   }
--- a/src/main/java/cranedeal/node/Roster.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListUpdate.java
@@ -1,8 +1,6 @@
-package cranedeal.node;
+package loadbalancer.proxy.discovery;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import cranedeal.LoadBalancer.State;
-import cranedeal.LoadBalancer.Upstream;
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -11,48 +9,51 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.zip.CRC32C;
+import loadbalancer.model.Endpoint;
+import loadbalancer.model.EndpointState;
 
 /** A list of upstreams in discovery's form: the whole one, or what has changed. */
-record Roster(long version, boolean full, List<Member> members) {
+public record EndpointListUpdate(long version, boolean full, List<Entry> entries) {
 
   /** An upstream as the module knows it, and where it listens. */
-  record Member(Upstream upstream, InetSocketAddress address) {}
+  public record Entry(Endpoint endpoint, InetSocketAddress address) {}
 
   /** The entries as the decision module takes them. */
-  List<Upstream> upstreams() {
-    return members.stream().map(Member::upstream).toList();
+  public List<Endpoint> endpoints() {
+    return entries.stream().map(Entry::endpoint).toList();
   }
 
   /**
    * Reads a list; throws {@link IllegalArgumentException} if any part of it is amiss, since half a
    * list would drop upstreams that are well.
    */
-  static Roster parse(JsonNode list, List<String> zones, List<String> kinds) {
+  public static EndpointListUpdate parse(JsonNode list, List<String> zones, List<String> kinds) {
     JsonNode servers = list.get("servers");
     if (servers == null || !servers.isArray() || !list.path("version").isIntegralNumber()) {
       throw new IllegalArgumentException("a list of upstreams needs a version and servers");
     }
-    List<Member> members = new ArrayList<>(servers.size());
+    List<Entry> members = new ArrayList<>(servers.size());
     for (JsonNode entry : servers) {
       members.add(member(entry, zones, kinds));
     }
-    return new Roster(list.get("version").longValue(), list.path("full").asBoolean(), members);
+    return new EndpointListUpdate(
+        list.get("version").longValue(), list.path("full").asBoolean(), members);
   }
 
-  private static Member member(JsonNode entry, List<String> zones, List<String> kinds) {
+  private static Entry member(JsonNode entry, List<String> zones, List<String> kinds) {
     String id = entry.path("id").asText("");
     if (id.isEmpty()) {
       throw new IllegalArgumentException("an upstream without an id");
     }
-    State state =
+    EndpointState state =
         switch (entry.path("state").asText("")) {
-          case "up" -> State.READY;
-          case "draining" -> State.DRAINING;
-          case "removed" -> State.REMOVED;
+          case "up" -> EndpointState.READY;
+          case "draining" -> EndpointState.DRAINING;
+          case "removed" -> EndpointState.REMOVED;
           default -> throw new IllegalArgumentException("upstream " + id + " has no known state");
         };
-    Upstream upstream =
-        new Upstream(
+    Endpoint upstream =
+        new Endpoint(
             number(id),
             index(zones, entry.path("zone").asText("")),
             index(kinds, entry.path("kind").asText("")),
@@ -62,8 +63,8 @@
             entry.path("started_ms").asDouble(0));
     String address = entry.path("addr").asText("");
     // Who is gone needs no address.
-    return new Member(
-        upstream, address.isEmpty() && state == State.REMOVED ? null : address(address));
+    return new Entry(
+        upstream, address.isEmpty() && state == EndpointState.REMOVED ? null : address(address));
   }
 
   /** The same number for an id at every balancer, as the module's subsets rest on it. */
@@ -80,7 +81,7 @@
   }
 
   /** A numeric address with its port; there is no DNS to ask for any other. */
-  static InetSocketAddress address(String text) {
+  public static InetSocketAddress address(String text) {
     int colon = text.lastIndexOf(':');
     byte[] ip =
         NetUtil.createByteArrayFromIpAddressString(colon < 0 ? text : text.substring(0, colon));
--- a/src/main/java/cranedeal/node/Sockets.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/DescriptorBudget.java
@@ -1,4 +1,4 @@
-package cranedeal.node;
+package loadbalancer.proxy.eventloop;
 
 import io.netty.channel.Channel;
 import io.netty.channel.nio.AbstractNioChannel;
@@ -10,7 +10,7 @@
  * the backlog already counts as taken, so calls to upstreams leave room for callers, and an idle
  * connection gives way to whoever needs its descriptor.
  */
-final class Sockets {
+public final class DescriptorBudget {
 
   /**
    * Descriptors of the virtual machine, the listening socket and discovery, and callers let in at
@@ -36,17 +36,17 @@
   private DoublePredicate evictCaller = before -> false;
   private BooleanSupplier evictUpstream = () -> false;
 
-  Sockets(int descriptors) {
+  public DescriptorBudget(int descriptors) {
     limit = Math.max(CALLERS_SHARE, descriptors - OF_THE_PROCESS);
   }
 
   /** Names what closes one idle upstream connection and tells whether there was one. */
-  void upstreamsGiveWay(BooleanSupplier evict) {
+  public void onEvictUpstream(BooleanSupplier evict) {
     evictUpstream = evict;
   }
 
   /** Names what closes one caller's connection that was idle before a time; likewise. */
-  void callersGiveWay(DoublePredicate evict) {
+  public void onEvictClient(DoublePredicate evict) {
     evictCaller = evict;
   }
 
@@ -54,7 +54,7 @@
    * Whether a connection to an upstream may be opened, after an idle one has gone for it if need
    * be.
    */
-  boolean roomForUpstream(double now) {
+  public boolean tryReserveForUpstream(double now) {
     return open < limit - limit / CALLERS_SHARE || evict(now);
   }
 
@@ -62,7 +62,7 @@
    * Whether one more caller may be let in, after idle connections have gone for a batch of them:
    * callers are accepted several at a time, and a crowd must not wait while others only rest here.
    */
-  boolean roomForCaller(double now) {
+  public boolean canAcceptClient(double now) {
     int spare = Math.min(BATCH, limit / SPARE_SHARE);
     boolean gone = true;
     while (gone && open >= limit - spare) {
@@ -72,7 +72,7 @@
   }
 
   /** Closes idle connections where the descriptors have run out, although room was kept. */
-  void makeRoom(double now) {
+  public void evictIdleConnections(double now) {
     boolean gone = true;
     for (int i = 0; i < BATCH && gone; i++) {
       gone = evict(now);
@@ -89,7 +89,7 @@
   }
 
   /** Counts a connection until it is closed. */
-  void count(Channel channel) {
+  public void track(Channel channel) {
     open++;
     channel.closeFuture().addListener(closed -> open--);
   }
@@ -98,7 +98,7 @@
    * Handles at once what the kernel holds for a channel: bytes, the peer's end of the stream,
    * callers in the backlog. What it says about a connection is then as fresh as can be.
    */
-  static void readNow(Channel channel) {
+  public static void readNow(Channel channel) {
     if (channel.isOpen()) {
       ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
     }
--- a/src/main/java/cranedeal/node/EventLoopMonitor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
@@ -1,4 +1,4 @@
-package cranedeal.node;
+package loadbalancer.proxy.eventloop;
 
 import io.netty.channel.IoHandle;
 import io.netty.channel.IoHandler;
@@ -14,7 +14,7 @@
  * their duration. So that it can, it also has a say in when the loop waits and for how long. It is
  * used on the thread of its event loop only.
  */
-final class EventLoopMonitor {
+public final class EventLoopMonitor {
 
   private static final long NANOS_PER_MS = 1_000_000;
   private static final int PERCENT = 100;
@@ -32,7 +32,7 @@
    * @param p50 an upper bound of the median, one less than a power of two; likewise {@code p99}
    * @param max the longest
    */
-  record Report(long iterations, long p50, long p99, long max) {}
+  public record Report(long iterations, long p50, long p99, long max) {}
 
   private final LongSupplier nanoTime;
 
@@ -59,7 +59,7 @@
   private boolean blocked;
 
   /** {@code nanoTime} is a monotonic clock like {@link System#nanoTime()}. */
-  EventLoopMonitor(LongSupplier nanoTime) {
+  public EventLoopMonitor(LongSupplier nanoTime) {
     this.nanoTime = nanoTime;
     selectedAt = nanoTime.getAsLong();
     selectedBefore = selectedAt;
@@ -67,12 +67,12 @@
   }
 
   /** Makes handlers that work as those of {@code handlers} do and report to this monitor. */
-  IoHandlerFactory watch(IoHandlerFactory handlers) {
+  public IoHandlerFactory watch(IoHandlerFactory handlers) {
     return executor -> new WatchedHandler(handlers.newHandler(executor));
   }
 
   /** The number of the present iteration. */
-  long iteration() {
+  public long iteration() {
     return iteration;
   }
 
@@ -81,7 +81,7 @@
    * waiting. A selector that blocked returned as soon as anything was ready. Else an event that was
    * ready when it returned before would have been handled then.
    */
-  double longestWaitMillis() {
+  public double longestWaitMillis() {
     return millisSince(blocked ? selectedAt : selectedBefore);
   }
 
@@ -92,12 +92,12 @@
   /**
    * The longest iteration of the last 4 s to 8 s, in ms: a timer that is set now may be so late.
    */
-  double recentLatenessMillis() {
+  public double recentLatenessMillis() {
     return (double) Math.max(longestInWindow, longestInWindowBefore) / NANOS_PER_MS;
   }
 
   /** The iterations since the last report; forgets them. */
-  Report report() {
+  public Report report() {
     long total = 0;
     for (long count : counts) {
       total += count;
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/frontend/BadRequestException.java
@@ -0,0 +1,23 @@
+package loadbalancer.proxy.frontend;
+
+import io.netty.handler.codec.http.HttpResponseStatus;
+
+/** A request that its caller has got wrong, and how to say so. */
+final class BadRequestException extends Exception {
+
+  private static final long serialVersionUID = 1;
+  private final transient HttpResponseStatus status;
+
+  BadRequestException(HttpResponseStatus status, String message) {
+    super(message, null, false, false);
+    this.status = status;
+  }
+
+  BadRequestException(String message) {
+    this(HttpResponseStatus.BAD_REQUEST, message);
+  }
+
+  HttpResponseStatus status() {
+    return status;
+  }
+}
--- a/src/main/java/cranedeal/node/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
@@ -1,7 +1,5 @@
-package cranedeal.node;
+package loadbalancer.proxy.frontend;
 
-import cranedeal.node.RequestCheck.BadRequestException;
-import cranedeal.node.RequestCheck.Template;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -27,6 +25,11 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.proxy.eventloop.DescriptorBudget;
+import loadbalancer.proxy.eventloop.EventLoopMonitor;
+import loadbalancer.proxy.frontend.RequestValidator.Template;
+import loadbalancer.proxy.logging.ProxyLogger;
+import loadbalancer.proxy.protocol.ProtocolHeaders;
 
 /** One caller's connection: one request at a time, those sent ahead wait for their turn. */
 final class ClientConnection extends ChannelInboundHandlerAdapter
@@ -161,7 +164,7 @@
   /** Closes it if it is idle: a request that lies unread in the kernel would be lost with it. */
   boolean closeIfIdle() {
     if (isIdle()) {
-      Sockets.readNow(channel);
+      DescriptorBudget.readNow(channel);
       if (isIdle()) {
         channel.close();
       }
@@ -171,7 +174,7 @@
 
   /** Reads what has come, and leaves nothing open but what is at work or has its answer. */
   void end() {
-    Sockets.readNow(channel);
+    DescriptorBudget.readNow(channel);
     if (decoder.amid && flaw == null && !closing) {
       spoil(new BadRequestException(HttpResponseStatus.REQUEST_TIMEOUT, "too late"));
       advance();
@@ -184,7 +187,7 @@
    * sends without end is there. A request that is just being begun was looked after before.
    */
   @Override
-  public boolean waits() {
+  public boolean isConnected() {
     if (current != null && exchange == null) {
       return channel.isOpen();
     }
@@ -192,7 +195,7 @@
     long before = -1;
     while (channel.isOpen() && received > before && received - first < MAX_UNREAD_BYTES) {
       before = received;
-      Sockets.readNow(channel);
+      DescriptorBudget.readNow(channel);
     }
     return channel.isOpen();
   }
@@ -247,7 +250,7 @@
 
   private void take(Object message) throws BadRequestException {
     if (message instanceof HttpRequest begun) {
-      RequestCheck.head(begun);
+      RequestValidator.head(begun);
       head = begun;
       body = Unpooled.EMPTY_BUFFER;
       // One that waits behind another will send its body without being asked.
@@ -270,7 +273,7 @@
 
   private void append(ByteBuf part) throws BadRequestException {
     if (body.readableBytes() + part.readableBytes() > ProtocolHeaders.MAX_BODY_BYTES) {
-      throw RequestCheck.tooLarge();
+      throw RequestValidator.tooLarge();
     }
     if (part.isReadable()) {
       if (body == Unpooled.EMPTY_BUFFER) {
@@ -355,7 +358,7 @@
     try {
       while (current == null && !closing && (flaw != null || !ahead.isEmpty())) {
         // The client may have left while this waited for its turn, or to be let in at all.
-        if (!waits()) {
+        if (!isConnected()) {
           return;
         }
         Arrived next = ahead.pollFirst();
@@ -386,7 +389,7 @@
       ClientConnection first = frontend.atWork(template.txn());
       if (first != null) {
         // Its client may have left, and sent the request again here.
-        if (!first.waits()) {
+        if (!first.isConnected()) {
           // Its end is told later on, too late for the one that is here now.
           first.abandon();
         }
@@ -416,7 +419,7 @@
   }
 
   @Override
-  public void answer(HttpResponseStatus status, ByteBuf content, double retryAfter) {
+  public void respond(HttpResponseStatus status, ByteBuf content, double retryAfter) {
     write(status, content.retain(), retryAfter);
   }
 
@@ -528,7 +531,7 @@
   }
 
   /** Knows, beside its work, whether a request has come in part. */
-  private static final class Decoder extends RequestCheck.Decoder {
+  private static final class Decoder extends RequestValidator.Decoder {
 
     private final ClientConnection connection;
 
--- a/src/main/java/cranedeal/node/Frontend.java
+++ b/src/main/java/loadbalancer/proxy/frontend/Frontend.java
@@ -1,7 +1,5 @@
-package cranedeal.node;
+package loadbalancer.proxy.frontend;
 
-import cranedeal.node.RequestCheck.BadRequestException;
-import cranedeal.node.RequestCheck.Template;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.Channel;
@@ -20,13 +18,19 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.proxy.config.ConfigurationException;
+import loadbalancer.proxy.config.ProxyConfig;
+import loadbalancer.proxy.eventloop.DescriptorBudget;
+import loadbalancer.proxy.eventloop.EventLoopMonitor;
+import loadbalancer.proxy.frontend.RequestValidator.Template;
+import loadbalancer.proxy.logging.ProxyLogger;
 
 /**
  * Takes callers' requests and writes each one's answer. A caller that sends what is of no use, or
  * nothing, has an error or the end of its connection soon, and can't hold memory or descriptors for
  * longer.
  */
-final class Frontend {
+public final class Frontend {
 
   private static final int BACKLOG = 1_024;
 
@@ -36,12 +40,12 @@
   private static final long SWEEP_MS = 200;
 
   private final EventLoop loop;
-  private final NodeConfig config;
-  private final Sockets sockets;
+  private final ProxyConfig config;
+  private final DescriptorBudget sockets;
   private final ByteBufAllocator memory;
   private final RequestDispatcher node;
   private final EventLoopMonitor monitor;
-  private final RequestCheck check;
+  private final RequestValidator check;
 
   /** Every caller's connection, in the order in which they came or last became idle. */
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
@@ -56,10 +60,10 @@
   /** Bytes of the requests that wait behind others, over all connections. */
   private int aheadBytes;
 
-  Frontend(
+  public Frontend(
       EventLoop loop,
-      NodeConfig config,
-      Sockets sockets,
+      ProxyConfig config,
+      DescriptorBudget sockets,
       ByteBufAllocator memory,
       RequestDispatcher node,
       EventLoopMonitor monitor) {
@@ -69,11 +73,11 @@
     this.memory = memory;
     this.node = node;
     this.monitor = monitor;
-    check = new RequestCheck(config);
-    sockets.callersGiveWay(this::evictIdle);
+    check = new RequestValidator(config);
+    sockets.onEvictClient(this::evictIdle);
   }
 
-  void bind() throws ConfigException, InterruptedException {
+  public void bind() throws ConfigurationException, InterruptedException {
     ServerBootstrap server =
         new ServerBootstrap()
             .group(loop)
@@ -98,24 +102,24 @@
                 });
     var bound = server.bind(config.listen()).await();
     if (!bound.isSuccess()) {
-      throw new ConfigException(
+      throw new ConfigurationException(
           "cannot listen on " + config.listen() + ": " + bound.cause().getMessage());
     }
     listening = bound.channel();
     loop.scheduleAtFixedRate(() -> sweep(node.now()), SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
   }
 
-  InetSocketAddress address() {
+  public InetSocketAddress address() {
     return (InetSocketAddress) listening.localAddress();
   }
 
   /** From now on every answer asks its caller to leave. */
-  void beginDrain() {
+  public void beginDrain() {
     draining = true;
   }
 
   /** Closes what is idle and tells whether nothing is left, so that the process may end. */
-  boolean endDrain() {
+  public boolean endDrain() {
     letIn();
     for (ClientConnection connection : new ArrayList<>(connections)) {
       connection.closeIfIdle();
@@ -127,7 +131,7 @@
    * From now on nothing more is begun: whoever is idle or has sent half a request goes, and what
    * waits for its turn, or comes now, is refused once the request at work has its answer.
    */
-  void end() {
+  public void end() {
     draining = true;
     ending = true;
     letIn();
@@ -142,7 +146,7 @@
     // Several are let in at a time. SIGTERM may come before anybody could be.
     while (listening != null && before < connections.size()) {
       before = connections.size();
-      Sockets.readNow(listening);
+      DescriptorBudget.readNow(listening);
     }
   }
 
@@ -160,7 +164,7 @@
    * class.
    */
   void resume() {
-    if (!listening.config().isAutoRead() && sockets.roomForCaller(node.now())) {
+    if (!listening.config().isAutoRead() && sockets.canAcceptClient(node.now())) {
       listening.config().setAutoRead(true);
     }
   }
@@ -199,9 +203,9 @@
 
   /** A caller was let in. */
   void opened(ClientConnection connection, Channel channel) {
-    sockets.count(channel);
+    sockets.track(channel);
     connections.add(connection);
-    if (!sockets.roomForCaller(connection.since())) {
+    if (!sockets.canAcceptClient(connection.since())) {
       // Failing to accept for want of a descriptor would stop Netty from trying for a second.
       listening.config().setAutoRead(false);
     }
--- a/src/main/java/cranedeal/node/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/frontend/RequestDispatcher.java
@@ -1,18 +1,18 @@
-package cranedeal.node;
+package loadbalancer.proxy.frontend;
 
-import cranedeal.LoadBalancer.Request;
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.function.Function;
+import loadbalancer.model.ClientRequest;
 
 /**
  * What client connections need of the process that they belong to. All methods are called on the
  * event loop.
  */
-interface RequestDispatcher {
+public interface RequestDispatcher {
 
-  /** The time in milliseconds, see {@link Clock}. */
+  /** The time in milliseconds, see {@link loadbalancer.proxy.eventloop.Clock}. */
   double now();
 
   /**
@@ -22,7 +22,7 @@
    * @param description builds the request from the number that it is given
    */
   DispatchedRequest dispatch(
-      Function<Long, Request> description, FullHttpRequest message, Responder responder);
+      Function<Long, ClientRequest> description, FullHttpRequest message, Responder responder);
 
   /** A request that was accepted. */
   interface DispatchedRequest {
@@ -43,12 +43,12 @@
      * @param body not to be kept after this returns
      * @param retryAfter when to come back, in milliseconds; 0 for no advice
      */
-    void answer(HttpResponseStatus status, ByteBuf body, double retryAfter);
+    void respond(HttpResponseStatus status, ByteBuf body, double retryAfter);
 
     /**
      * Whether the client is still connected as far as the kernel knows, which the event loop may
      * not have been told yet.
      */
-    boolean waits();
+    boolean isConnected();
   }
 }
--- a/src/main/java/cranedeal/node/RequestCheck.java
+++ b/src/main/java/loadbalancer/proxy/frontend/RequestValidator.java
@@ -1,8 +1,5 @@
-package cranedeal.node;
+package loadbalancer.proxy.frontend;
 
-import cranedeal.LoadBalancer.Repeat;
-import cranedeal.LoadBalancer.Request;
-import cranedeal.LoadBalancer.ServiceClass;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -20,13 +17,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.regex.Pattern;
+import loadbalancer.model.ClientRequest;
+import loadbalancer.model.Idempotency;
+import loadbalancer.model.RequestClass;
+import loadbalancer.proxy.config.ProxyConfig;
+import loadbalancer.proxy.protocol.ProtocolHeaders;
 
 /**
  * Checks what callers send against the protocol before anything of it goes further. What an
  * upstream might read in another way than this balancer, such as where a body ends, must not reach
  * it.
  */
-final class RequestCheck {
+public final class RequestValidator {
 
   private static final int MS = 1_000;
 
@@ -50,33 +52,13 @@
   /** Narrower than what Java takes for a number, which includes NaN, hexadecimals and suffixes. */
   private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,12}(\\.[0-9]{0,12})?");
 
-  private final NodeConfig config;
+  private final ProxyConfig config;
   private final Map<String, Integer> classes = new HashMap<>();
 
-  RequestCheck(NodeConfig config) {
+  public RequestValidator(ProxyConfig config) {
     this.config = config;
-    for (int i = 0; i < config.classes().size(); i++) {
-      classes.put(config.classes().get(i), i);
-    }
-  }
-
-  /** A request that its caller has got wrong, and how to say so. */
-  static final class BadRequestException extends Exception {
-
-    private static final long serialVersionUID = 1;
-    private final transient HttpResponseStatus status;
-
-    BadRequestException(HttpResponseStatus status, String message) {
-      super(message, null, false, false);
-      this.status = status;
-    }
-
-    BadRequestException(String message) {
-      this(HttpResponseStatus.BAD_REQUEST, message);
-    }
-
-    HttpResponseStatus status() {
-      return status;
+    for (int i = 0; i < config.requestClasses().size(); i++) {
+      classes.put(config.requestClasses().get(i), i);
     }
   }
 
@@ -90,7 +72,7 @@
   }
 
   /** A request as the module wants it, but for its id. */
-  record Template(
+  public record Template(
       String txn,
       int serviceClass,
       int tenant,
@@ -100,8 +82,8 @@
       boolean retry,
       boolean write) {
 
-    Request withId(long id) {
-      return new Request(id, serviceClass, tenant, key, deadline, cost, retry, write);
+    ClientRequest withId(long id) {
+      return new ClientRequest(id, serviceClass, tenant, key, deadline, cost, retry, write);
     }
   }
 
@@ -151,7 +133,7 @@
   /**
    * Reads a whole request that came at a time; {@code lateness} is that of the event loop, in ms.
    */
-  Template read(FullHttpRequest request, double arrivedAt, double lateness)
+  public Template read(FullHttpRequest request, double arrivedAt, double lateness)
       throws BadRequestException {
     if (!TARGET.matcher(request.uri()).matches()) {
       throw new BadRequestException("the target is no path");
@@ -162,16 +144,17 @@
     if (place == null || !name.equals(firstPart(request.uri()))) {
       throw new BadRequestException("unknown class");
     }
-    ServiceClass type = config.settings().classes().get(place);
+    RequestClass type = config.settings().requestClasses().get(place);
     boolean get = request.method().equals(HttpMethod.GET);
-    if (get != (type.repeat() == Repeat.IDEMPOTENT)
+    if (get != (type.idempotency() == Idempotency.IDEMPOTENT)
         || !get && !request.method().equals(HttpMethod.POST)) {
       throw new BadRequestException("the class wants another method");
     }
     if (get && request.content().isReadable()) {
       throw new BadRequestException("a body that nobody reads");
     }
-    if (token(headers, "Idempotency-Key") == null ^ type.repeat() != Repeat.DEDUPLICATED) {
+    if (token(headers, "Idempotency-Key") == null
+        ^ type.idempotency() != Idempotency.DEDUPLICATED) {
       throw new BadRequestException("the class wants Idempotency-Key otherwise");
     }
     String txn = token(headers, ProtocolHeaders.REQUEST_ID);
@@ -196,7 +179,7 @@
         place,
         tenantIndex,
         key(single(headers, "Cookie")),
-        arrivedAt + beforeEnd(Math.min(type.deadline(), remaining * MS), lateness),
+        arrivedAt + beforeEnd(Math.min(type.deadlineMillis(), remaining * MS), lateness),
         Double.isNaN(estimate) ? 0 : estimate / MS,
         "1".equals(single(headers, ProtocolHeaders.CLIENT_RETRY)),
         !get);
--- a/src/main/java/cranedeal/node/Json.java
+++ b/src/main/java/loadbalancer/proxy/json/JsonReader.java
@@ -1,4 +1,4 @@
-package cranedeal.node;
+package loadbalancer.proxy.json;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParseException;
@@ -16,15 +16,15 @@
  * and loads hundreds of classes for that, which was a fifth of the processor time that a start
  * takes.
  */
-final class Json {
+public final class JsonReader {
 
   private static final JsonFactory FACTORY = new JsonFactory();
   private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
-  private Json() {}
+  private JsonReader() {}
 
   /** Reads one value and no further; a missing node if there is none. */
-  static JsonNode read(InputStream text) throws IOException {
+  public static JsonNode read(InputStream text) throws IOException {
     try (JsonParser parser = FACTORY.createParser(text)) {
       return parser.nextToken() == null ? NODES.missingNode() : value(parser);
     }
--- a/src/main/java/cranedeal/node/LogLimit.java
+++ b/src/main/java/loadbalancer/proxy/logging/LogRateLimiter.java
@@ -1,4 +1,4 @@
-package cranedeal.node;
+package loadbalancer.proxy.logging;
 
 import java.util.function.DoubleSupplier;
 import java.util.logging.Filter;
@@ -8,7 +8,7 @@
  * Lets a few lines through in a while: what peers do wrong must not fill the log, which is memory
  * here.
  */
-final class LogLimit implements Filter {
+public final class LogRateLimiter implements Filter {
 
   private static final int LINES = 10;
   private static final double WHILE_MS = 5_000;
@@ -18,7 +18,7 @@
   private int lines;
   private int dropped;
 
-  LogLimit(DoubleSupplier clock) {
+  public LogRateLimiter(DoubleSupplier clock) {
     this.clock = clock;
   }
 
--- a/src/main/java/cranedeal/node/ProtocolHeaders.java
+++ b/src/main/java/loadbalancer/proxy/protocol/ProtocolHeaders.java
@@ -1,4 +1,4 @@
-package cranedeal.node;
+package loadbalancer.proxy.protocol;
 
 import java.math.BigDecimal;
 
@@ -6,44 +6,44 @@
  * The header fields of the platform's protocol, named by the concept that each carries. This is the
  * only place with their names on the wire; docs/GLOSSARY.md explains them.
  */
-final class ProtocolHeaders {
+public final class ProtocolHeaders {
 
   /** Identifies a request over all its attempts; unique among those in flight. */
-  static final String REQUEST_ID = "X-Txn";
+  public static final String REQUEST_ID = "X-Txn";
 
   /** The name of the request's class. */
-  static final String REQUEST_CLASS = "X-Lane";
+  public static final String REQUEST_CLASS = "X-Lane";
 
   /** The name of the tenant on whose behalf the request is made. */
-  static final String TENANT = "X-Org";
+  public static final String TENANT = "X-Org";
 
   /** {@code 1} on a request that its client has sent before. */
-  static final String CLIENT_RETRY = "X-Resent";
+  public static final String CLIENT_RETRY = "X-Resent";
 
   /** The seconds that are left until the request's deadline. */
-  static final String REMAINING_TIME = "X-Remaining";
+  public static final String REMAINING_TIME = "X-Remaining";
 
   /** The expected work of the request in milliseconds of a standard core. */
-  static final String COST_ESTIMATE = "X-Estimate";
+  public static final String COST_ESTIMATE = "X-Estimate";
 
   /** {@code 1} on a response that promises that the request had no effect. */
-  static final String REJECTED = "X-Turned-Away";
+  public static final String REJECTED = "X-Turned-Away";
 
   /** The upstream's load report on a response. */
-  static final String LOAD_REPORT = "X-Pressure";
+  public static final String LOAD_REPORT = "X-Pressure";
 
   /** Opaque labels that are forwarded as they are. */
-  static final String LABELS = "X-Labels";
+  public static final String LABELS = "X-Labels";
 
   /** The largest body of a request or a response, in bytes. */
-  static final int MAX_BODY_BYTES = 64 * 1024;
+  public static final int MAX_BODY_BYTES = 64 * 1024;
 
   private static final int MILLISECOND_DECIMALS = 3;
 
   private ProtocolHeaders() {}
 
   /** Formats whole milliseconds, rounded down, as a decimal number of seconds. */
-  static String formatSeconds(double millis) {
+  public static String formatSeconds(double millis) {
     return BigDecimal.valueOf((long) millis, MILLISECOND_DECIMALS).toPlainString();
   }
 }
--- a/src/main/java/cranedeal/node/ConnectTimeEstimate.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ConnectTimeEstimate.java
@@ -1,4 +1,4 @@
-package cranedeal.node;
+package loadbalancer.proxy.upstream;
 
 /**
  * The usual time in which connections come up, a median, and how long to wait before a late one is
--- a/src/main/java/cranedeal/node/Freshness.java
+++ b/src/main/java/loadbalancer/proxy/upstream/IdleConnectionTrust.java
@@ -1,4 +1,4 @@
-package cranedeal.node;
+package loadbalancer.proxy.upstream;
 
 /**
  * How long a kept connection may have rested and still be trusted with a request. Its other end may
@@ -8,15 +8,15 @@
  * under requests for other causes too, and to open new ones costs upstreams work each time: only
  * where many break at once is the rest held to blame.
  */
-final class Freshness {
+final class IdleConnectionTrust {
 
   /**
    * A rest that needs no trust: about what a batch of calls one after another leaves between them.
    */
-  static final double YOUNG_MS = 50;
+  static final double FRESH_MILLIS = 50;
 
   /** A reset later than this after the write has befallen the request and not the connection. */
-  static final double AT_ONCE_MS = 50;
+  static final double IMMEDIATE_RESET_MILLIS = 50;
 
   /** Growth of the trust in a second without a break: back to ten times after some ten seconds. */
   private static final double RECOVERY = 1.25;
@@ -42,7 +42,7 @@
   private double trusted;
   private double breaks;
 
-  Freshness(double longest, double young) {
+  IdleConnectionTrust(double longest, double young) {
     this.longest = longest;
     this.young = young;
     trusted = longest;
@@ -59,7 +59,7 @@
   /**
    * A connection broke under a request as soon as it had been written, after resting for so long.
    */
-  void broke(double rested) {
+  void recordReset(double rested) {
     breaks += GAIN * (1 - breaks);
     if (breaks > USUAL) {
       trusted = Math.max(young, Math.min(trusted, rested / 2));
@@ -67,7 +67,7 @@
   }
 
   /** A connection that had rested for so long brought an answer. */
-  void held(double rested) {
+  void recordSuccess(double rested) {
     if (rested > young) {
       breaks -= GAIN * breaks;
     }
--- a/src/main/java/cranedeal/node/LoadReport.java
+++ b/src/main/java/loadbalancer/proxy/upstream/LoadReportParser.java
@@ -1,22 +1,22 @@
-package cranedeal.node;
+package loadbalancer.proxy.upstream;
 
 import java.util.Arrays;
 import java.util.List;
 
 /** An upstream's load report: {@code TEXT inflight=7, queue=2, util=0.61}. */
-final class LoadReport {
+public final class LoadReportParser {
 
   private static final String PREFIX = "TEXT";
 
   /** Beyond it no figure of a load is meant. */
-  private static final double MOST = 1e9;
+  private static final double MAX_VALUE = 1e9;
 
-  private LoadReport() {}
+  private LoadReportParser() {}
 
   /**
    * The values of the given fields in their order; null unless the text holds them all, in range.
    */
-  static double[] parse(String text, List<String> fields) {
+  public static double[] parse(String text, List<String> fields) {
     if (text == null || fields.isEmpty()) {
       return null;
     }
@@ -38,6 +38,8 @@
       }
     }
     // NaN compares false.
-    return Arrays.stream(values).allMatch(value -> value >= 0 && value <= MOST) ? values : null;
+    return Arrays.stream(values).allMatch(value -> value >= 0 && value <= MAX_VALUE)
+        ? values
+        : null;
   }
 }
--- a/src/main/java/cranedeal/node/UpstreamClient.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamClient.java
@@ -1,9 +1,5 @@
-package cranedeal.node;
+package loadbalancer.proxy.upstream;
 
-import cranedeal.LoadBalancer.Result;
-import cranedeal.LoadBalancer.Settings;
-import cranedeal.LoadBalancer.State;
-import cranedeal.node.Roster.Member;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.Unpooled;
@@ -35,12 +31,20 @@
 import java.util.Map;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.model.AttemptOutcome;
+import loadbalancer.model.EndpointState;
+import loadbalancer.model.PolicySettings;
+import loadbalancer.proxy.discovery.EndpointListUpdate;
+import loadbalancer.proxy.discovery.EndpointListUpdate.Entry;
+import loadbalancer.proxy.eventloop.Clock;
+import loadbalancer.proxy.eventloop.DescriptorBudget;
+import loadbalancer.proxy.protocol.ProtocolHeaders;
 
 /**
  * Carries attempts and probes to upstreams, one at a time on a connection, and reports how each
  * ended. It sends nothing twice: what breaks is an outcome.
  */
-final class UpstreamClient {
+public final class UpstreamClient {
 
   /** The part of an upstream's idle limit after which a connection is closed from this side. */
   private static final double IDLE_SHARE = 0.7;
@@ -85,12 +89,12 @@
   private static final int MOST_AHEAD = 16;
 
   /** Who waits for an attempt. */
-  interface Listener {
+  public interface Listener {
 
     /**
      * Called once, when the attempt is over; the response, null if none came, is not to be kept.
      */
-    void finished(Result result, FullHttpResponse response);
+    void finished(AttemptOutcome result, FullHttpResponse response);
 
     /**
      * Whether the outcome is of use now; asked before what waited for its connection is written.
@@ -102,26 +106,30 @@
 
   private final EventLoop loop;
   private final Clock clock;
-  private final Settings settings;
-  private final Sockets sockets;
+  private final PolicySettings settings;
+  private final DescriptorBudget sockets;
   private final Bootstrap bootstrap;
   private final Map<Long, Target> targets = new HashMap<>();
-  private Freshness freshness;
+  private IdleConnectionTrust freshness;
   private double settleMillis = SETTLE_MS;
   private final ConnectTimeEstimate connectTime;
 
   /** Connections that are not up yet. */
   private int dialling;
 
-  UpstreamClient(
-      EventLoop loop, Clock clock, Settings settings, Sockets sockets, ByteBufAllocator memory) {
+  public UpstreamClient(
+      EventLoop loop,
+      Clock clock,
+      PolicySettings settings,
+      DescriptorBudget sockets,
+      ByteBufAllocator memory) {
     this.loop = loop;
     this.clock = clock;
     this.settings = settings;
     this.sockets = sockets;
-    trustYoung(Freshness.YOUNG_MS);
-    connectTime = new ConnectTimeEstimate(settings.limits().connectTimeout());
-    int connectTimeout = (int) Math.max(1, settings.limits().connectTimeout());
+    trustYoung(IdleConnectionTrust.FRESH_MILLIS);
+    connectTime = new ConnectTimeEstimate(settings.limits().connectTimeoutMillis());
+    int connectTimeout = (int) Math.max(1, settings.limits().connectTimeoutMillis());
     bootstrap =
         new Bootstrap()
             .group(loop)
@@ -143,7 +151,7 @@
                             connection);
                   }
                 });
-    sockets.upstreamsGiveWay(this::evictIdle);
+    sockets.onEvictUpstream(this::evictIdle);
     loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
   }
 
@@ -152,7 +160,7 @@
    * ready.
    */
   private static final class Target {
-    Member member;
+    Entry member;
 
     /** When this balancer was told that it wants nothing new; NaN while it does. */
     double toldOff = Double.NaN;
@@ -163,8 +171,8 @@
     final ArrayDeque<Connection> idle = new ArrayDeque<>();
 
     /** Whether a connection that was opened to this still leads to the same process. */
-    boolean leadsAlike(Member to) {
-      return member.upstream().startedAt() == to.upstream().startedAt()
+    boolean leadsAlike(Entry to) {
+      return member.endpoint().startedAtMillis() == to.endpoint().startedAtMillis()
           && member.address().equals(to.address());
     }
 
@@ -180,22 +188,22 @@
    * Takes in a list that counts as told since a time; what an upstream that left or drains still
    * holds idle is of no more use.
    */
-  void update(Roster roster, double toldSince) {
+  public void update(EndpointListUpdate roster, double toldSince) {
     Map<Long, Target> left = new HashMap<>(roster.full() ? targets : Map.of());
-    for (Member member : roster.members()) {
-      left.remove(member.upstream().id());
-      if (member.upstream().state() == State.REMOVED) {
-        remove(targets.get(member.upstream().id()), toldSince);
+    for (Entry member : roster.entries()) {
+      left.remove(member.endpoint().id());
+      if (member.endpoint().state() == EndpointState.REMOVED) {
+        remove(targets.get(member.endpoint().id()), toldSince);
         continue;
       }
-      Target target = targets.computeIfAbsent(member.upstream().id(), id -> new Target());
+      Target target = targets.computeIfAbsent(member.endpoint().id(), id -> new Target());
       boolean moved = target.member != null && !target.leadsAlike(member);
       target.member = member;
       if (moved) {
         target.closeIdle();
       }
       target.gone = false;
-      if (member.upstream().state() == State.READY) {
+      if (member.endpoint().state() == EndpointState.READY) {
         target.toldOff = Double.NaN;
       } else {
         tellOff(target, toldSince);
@@ -222,15 +230,15 @@
    * Sends a request to an upstream and waits until the given time. {@code body} and {@code
    * listener} are used until the listener has been called.
    */
-  Attempt send(long upstream, FullHttpRequest request, double until, Listener listener) {
+  public Attempt send(long upstream, FullHttpRequest request, double until, Listener listener) {
     Attempt attempt = new Attempt(request, until, listener);
     attempt.start(targets.get(upstream));
     return attempt;
   }
 
   /** Asks an upstream how it does; the answer's body holds its load report if the site has any. */
-  void probe(long upstream, double until, Listener listener) {
-    String path = settings.reportFields().isEmpty() ? "/ping" : "/_load";
+  public void probe(long upstream, double until, Listener listener) {
+    String path = settings.loadReportFields().isEmpty() ? "/ping" : "/_load";
     send(
         upstream,
         new DefaultFullHttpRequest(
@@ -239,7 +247,7 @@
         listener);
   }
 
-  void closeIdle(long upstream) {
+  public void closeIdle(long upstream) {
     Target target = targets.get(upstream);
     if (target != null) {
       target.closeIdle();
@@ -253,14 +261,14 @@
 
   /** Closes what has been idle for long and forgets upstreams that left; the time is now. */
   void sweep(double now) {
-    double oldest = now - IDLE_SHARE * settings.limits().connectionIdle();
+    double oldest = now - IDLE_SHARE * settings.limits().idleTimeoutMillis();
     for (Target target : targets.values()) {
       while (!target.idle.isEmpty() && target.idle.peekFirst().idleSince < oldest) {
         target.idle.pollFirst().channel.close();
       }
     }
     // Whoever left long ago and holds nothing need not be remembered.
-    double grace = settings.rules().drainGrace();
+    double grace = settings.rules().drainGraceMillis();
     targets.values().removeIf(t -> t.gone && t.toldOff < now - 2 * grace && t.idle.isEmpty());
   }
 
@@ -276,11 +284,11 @@
 
   /** For how long a connection that rests is young; for tests. */
   void trustYoung(double millis) {
-    freshness = new Freshness(IDLE_SHARE * settings.limits().connectionIdle(), millis);
+    freshness = new IdleConnectionTrust(IDLE_SHARE * settings.limits().idleTimeoutMillis(), millis);
   }
 
   /** How long a connection rests before its next request; for tests. */
-  void settleFor(double millis) {
+  public void settleFor(double millis) {
     settleMillis = millis;
   }
 
@@ -291,7 +299,7 @@
 
   /** Takes it that a connection broke under a request after such a rest; for tests. */
   void brokeAtRest(double rested) {
-    freshness.broke(rested);
+    freshness.recordReset(rested);
   }
 
   /** Has the kernel hold no more than so many bytes unsent; for tests. */
@@ -316,7 +324,7 @@
   }
 
   /** One request on its way to one upstream. */
-  final class Attempt {
+  public final class Attempt {
 
     private final FullHttpRequest request;
     private final double until;
@@ -346,19 +354,19 @@
     private void start(Target to) {
       target = to;
       if (to == null) {
-        end(Result.CONNECT_FAILED, null);
+        end(AttemptOutcome.CONNECT_FAILED, null);
         return;
       }
       Connection idle = takeIdle(to, resendable());
       if (idle != null) {
         begin(idle);
-      } else if (!sockets.roomForUpstream(clock.now())) {
+      } else if (!sockets.tryReserveForUpstream(clock.now())) {
         // A shortage here says nothing of the upstream.
-        end(Result.NOT_SENT, null);
+        end(AttemptOutcome.NOT_SENT, null);
       } else {
         if (!dial(to.member)) {
           // There is no socket, for want of a descriptor.
-          end(Result.NOT_SENT, null);
+          end(AttemptOutcome.NOT_SENT, null);
           return;
         }
         long wait = (long) (connectTime.retryAfter() * 1_000);
@@ -371,19 +379,19 @@
      */
     private void dialAgain() {
       boolean waits = !over && Double.isNaN(begunAt) && Double.isNaN(target.toldOff);
-      if (waits && sockets.roomForUpstream(clock.now())) {
+      if (waits && sockets.tryReserveForUpstream(clock.now())) {
         dial(target.member);
       }
     }
 
     /** Opens a connection for this attempt; false if there is no socket for it. */
-    private boolean dial(Member member) {
+    private boolean dial(Entry member) {
       ChannelFuture connect = bootstrap.connect(member.address());
       if (connect.cause() instanceof ChannelException) {
         return false;
       }
       Channel opened = connect.channel();
-      sockets.count(opened);
+      sockets.track(opened);
       dialled.add(opened);
       dialling++;
       double dialledAt = clock.now();
@@ -399,13 +407,13 @@
               } else if (over) {
                 opened.close();
               } else if (!listener.awaits()) {
-                giveUp(Result.NOT_SENT);
+                giveUp(AttemptOutcome.NOT_SENT);
               } else {
                 begin(connection);
               }
             } else if (Double.isNaN(begunAt) && opened == dialled.get(0)) {
               // Whoever chose the server reckons with no more than the time-out of one connection.
-              giveUp(Result.CONNECT_FAILED);
+              giveUp(AttemptOutcome.CONNECT_FAILED);
             }
           });
       return true;
@@ -418,12 +426,12 @@
       begunAt = now;
       rested = now - connection.idleSince;
       // NaN compares false: a ready upstream takes anything.
-      boolean drained = now >= target.toldOff + GRACE_SHARE * settings.rules().drainGrace();
+      boolean drained = now >= target.toldOff + GRACE_SHARE * settings.rules().drainGraceMillis();
       // What came up meanwhile may lead to where the upstream was, and somebody else be there by
       // now.
       if (drained || now >= until || !target.leadsAlike(connection.to)) {
         connection.park(target);
-        end(Result.CONNECT_FAILED, null);
+        end(AttemptOutcome.CONNECT_FAILED, null);
         return;
       }
       connection.carry(this);
@@ -465,33 +473,35 @@
 
     /** The connection is of no more use: what was not written whole can't have run. */
     private void broke() {
-      if (!over && !Double.isNaN(rested) && clock.now() - begunAt < Freshness.AT_ONCE_MS) {
-        freshness.broke(rested);
+      if (!over
+          && !Double.isNaN(rested)
+          && clock.now() - begunAt < IdleConnectionTrust.IMMEDIATE_RESET_MILLIS) {
+        freshness.recordReset(rested);
       }
-      giveUp(written ? Result.RESET : Result.CONNECT_FAILED);
+      giveUp(written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
     }
 
     private void expire() {
-      giveUp(written ? Result.TIMEOUT : Result.CONNECT_FAILED);
+      giveUp(written ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED);
     }
 
     /** Nobody waits for the request any more: what still waits for its connection is not sent. */
-    void withdraw() {
+    public void withdraw() {
       if (Double.isNaN(begunAt)) {
-        giveUp(Result.NOT_SENT);
+        giveUp(AttemptOutcome.NOT_SENT);
       }
     }
 
     /** Stops waiting, and lets the upstream know by closing the connection. */
-    void cancel() {
-      giveUp(Result.CANCELLED);
+    public void cancel() {
+      giveUp(AttemptOutcome.CANCELLED);
     }
 
     /**
      * Ends the attempt with its connection. That is closed first: what the module sends in answer
      * to the outcome would otherwise overtake it, and be a second copy.
      */
-    private void giveUp(Result result) {
+    private void giveUp(AttemptOutcome result) {
       if (!over) {
         over = true;
         expiry.cancel(false);
@@ -506,17 +516,20 @@
 
     private void answered(FullHttpResponse response) {
       if (!Double.isNaN(rested)) {
-        freshness.held(rested);
+        freshness.recordSuccess(rested);
       }
       int status = response.status().code();
       boolean turnedAway =
           (status == 503 || status == 504)
               && "1".equals(response.headers().get(ProtocolHeaders.REJECTED));
-      Result result = turnedAway ? Result.FULL : status == 200 ? Result.OK : Result.ERROR;
+      AttemptOutcome result =
+          turnedAway
+              ? AttemptOutcome.FULL
+              : status == 200 ? AttemptOutcome.OK : AttemptOutcome.ERROR;
       end(result, response);
     }
 
-    private void end(Result result, FullHttpResponse response) {
+    private void end(AttemptOutcome result, FullHttpResponse response) {
       if (!over) {
         over = true;
         expiry.cancel(false);
@@ -541,7 +554,7 @@
       }
       last.remove();
       // The upstream may have closed it, and what is written to it then would count as run.
-      Sockets.readNow(c.channel);
+      DescriptorBudget.readNow(c.channel);
       return c.channel.isActive() ? c : takeIdle(target, resendable);
     }
     return null;
@@ -558,7 +571,7 @@
     double idleSince = Double.NaN;
 
     /** What it was opened to. */
-    private Member to;
+    private Entry to;
 
     private Attempt carried;
     private Target home;
@@ -609,7 +622,7 @@
       carried = null;
       channel.close();
       if (attempt != null) {
-        attempt.giveUp(attempt.written ? Result.ERROR : Result.CONNECT_FAILED);
+        attempt.giveUp(attempt.written ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED);
       }
     }
 
--- a/src/main/java/cranedeal/node/UpstreamResponseDecoder.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamResponseDecoder.java
@@ -1,4 +1,4 @@
-package cranedeal.node;
+package loadbalancer.proxy.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/cranedeal/wire/ReplyWriter.java
+++ b/src/main/java/loadbalancer/simulation/ActionWriter.java
@@ -1,16 +1,16 @@
-package cranedeal.wire;
+package loadbalancer.simulation;
 
-import cranedeal.LoadBalancer;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
+import loadbalancer.policy.PolicyActions;
 
 /**
  * Collects one reply: the actions of each instance as fixed records, texts and payloads in the
  * tail.
  */
-final class ReplyWriter implements LoadBalancer.Actions {
+final class ActionWriter implements PolicyActions {
 
   static final int RECORD_BYTES = 32;
   private static final int MAX_PEER_BYTES = 256;
@@ -28,26 +28,26 @@
   }
 
   @Override
-  public void refuse(long requestId, double retryAfter) {
+  public void reject(long requestId, double retryAfter) {
     int at = record(0);
     LittleEndian.putLong(records, at + 5, requestId);
     LittleEndian.putDouble(records, at + 13, retryAfter);
   }
 
   @Override
-  public void probe(long upstream) {
+  public void checkHealth(long upstream) {
     int at = record(1);
     LittleEndian.putUpstream(records, at + 5, upstream);
   }
 
   @Override
-  public void fail(long requestId) {
+  public void failRequest(long requestId) {
     int at = record(2);
     LittleEndian.putLong(records, at + 5, requestId);
   }
 
   @Override
-  public void send(long requestId, long upstream, double timeout) {
+  public void sendAttempt(long requestId, long upstream, double timeout) {
     int at = record(3);
     LittleEndian.putLong(records, at + 5, requestId);
     LittleEndian.putUpstream(records, at + 13, upstream);
@@ -60,7 +60,7 @@
   }
 
   @Override
-  public void closeIdle(long upstream) {
+  public void closeIdleConnections(long upstream) {
     int at = record(5);
     LittleEndian.putUpstream(records, at + 5, upstream);
   }
@@ -71,20 +71,20 @@
   }
 
   @Override
-  public void watch(boolean on) {
+  public void watchEndpoints(boolean on) {
     int at = record(7);
     records[at + 5] = (byte) (on ? 1 : 0);
   }
 
   @Override
-  public void cancel(long requestId, int attempt) {
+  public void cancelAttempt(long requestId, int attempt) {
     int at = record(8);
     LittleEndian.putLong(records, at + 5, requestId);
     LittleEndian.putShort(records, at + 13, attempt);
   }
 
   @Override
-  public void tell(int peer, byte[] payload) {
+  public void sendToPeer(int peer, byte[] payload) {
     if (payload.length > MAX_PEER_BYTES) {
       throw new IllegalArgumentException(
           "a peer message holds " + MAX_PEER_BYTES + " bytes at most");
@@ -95,12 +95,12 @@
   }
 
   @Override
-  public void fetch() {
+  public void fetchEndpoints() {
     record(10);
   }
 
   @Override
-  public void setTimer(long token, double at) {
+  public void scheduleTimer(long token, double at) {
     int record = record(11);
     LittleEndian.putLong(records, record + 5, token);
     LittleEndian.putDouble(records, record + 13, at);
--- a/src/main/java/cranedeal/wire/LittleEndian.java
+++ b/src/main/java/loadbalancer/simulation/LittleEndian.java
@@ -1,4 +1,4 @@
-package cranedeal.wire;
+package loadbalancer.simulation;
 
 import java.lang.invoke.MethodHandles;
 import java.lang.invoke.VarHandle;
