--- a/src/main/java/cranedeal/wire/WireHost.java
+++ b/src/main/java/loadbalancer/simulation/SimulationHost.java
@@ -1,13 +1,5 @@
-package cranedeal.wire;
+package loadbalancer.simulation;
 
-import cranedeal.LoadBalancer;
-import cranedeal.LoadBalancer.Change;
-import cranedeal.LoadBalancer.Outcome;
-import cranedeal.LoadBalancer.Request;
-import cranedeal.LoadBalancer.Result;
-import cranedeal.LoadBalancer.Settings;
-import cranedeal.LoadBalancer.State;
-import cranedeal.LoadBalancer.Upstream;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -16,9 +8,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
+import loadbalancer.model.AttemptOutcome;
+import loadbalancer.model.AttemptResult;
+import loadbalancer.model.ClientRequest;
+import loadbalancer.model.Endpoint;
+import loadbalancer.model.EndpointState;
+import loadbalancer.model.EndpointUpdateType;
+import loadbalancer.model.PolicySettings;
+import loadbalancer.policy.LoadBalancingPolicy;
+import loadbalancer.policy.PolicyActions;
+import loadbalancer.settings.MalformedInputException;
+import loadbalancer.settings.SettingsParser;
 
 /** Reads batches of events, hands each to its instance, and answers every batch with one reply. */
-final class WireHost {
+final class SimulationHost {
 
   static final int HEADER_BYTES = 16;
   static final int RECORD_BYTES = 48;
@@ -30,14 +33,14 @@
   private static final int LISTS = 16;
   private static final int MAX_REPORT_VALUES = 4;
 
-  private final Function<LoadBalancer.Actions, LoadBalancer> factory;
-  private final ReplyWriter reply = new ReplyWriter();
+  private final Function<PolicyActions, LoadBalancingPolicy> factory;
+  private final ActionWriter reply = new ActionWriter();
 
   /** Looked up by number only, never iterated. */
   private final Map<Integer, Hosted> instances = new HashMap<>();
 
   /** Upstream lists belong to the process: the same text for every instance that refers to it. */
-  private final List<List<Upstream>> lists = new ArrayList<>();
+  private final List<List<Endpoint>> lists = new ArrayList<>();
 
   private double clock = Double.NEGATIVE_INFINITY;
   private long frame;
@@ -46,9 +49,9 @@
   private int tailAt;
 
   /** An instance with the settings against which its events are checked. */
-  private record Hosted(LoadBalancer balancer, Settings settings) {}
+  private record Hosted(LoadBalancingPolicy balancer, PolicySettings settings) {}
 
-  WireHost(Function<LoadBalancer.Actions, LoadBalancer> factory) {
+  SimulationHost(Function<PolicyActions, LoadBalancingPolicy> factory) {
     this.factory = factory;
     for (int i = 0; i < LISTS; i++) {
       lists.add(null);
@@ -142,8 +145,8 @@
   private void provision(int instance, int at) {
     byte[] text = tail(at + 13, 1);
     long seed = LittleEndian.getLong(body, at + 5);
-    Settings settings = SettingsParser.parse(text);
-    LoadBalancer balancer = factory.apply(reply);
+    PolicySettings settings = SettingsParser.parse(text);
+    LoadBalancingPolicy balancer = factory.apply(reply);
     instances.put(instance, new Hosted(balancer, settings));
     double now = clock;
     decide(instance, () -> balancer.start(now, settings, seed));
@@ -151,57 +154,57 @@
 
   /** Checks an event's fields and binds them to the call that it stands for. */
   private Runnable decode(int code, int at, Hosted hosted) {
-    LoadBalancer balancer = hosted.balancer();
+    LoadBalancingPolicy balancer = hosted.balancer();
     double now = clock;
     switch (code) {
       case 1:
         return decodeDiscovery(at, balancer);
       case 2:
-        Request request = readRequest(at, hosted.settings());
-        return () -> balancer.request(now, request);
+        ClientRequest request = readRequest(at, hosted.settings());
+        return () -> balancer.requestArrived(now, request);
       case 3:
         long streamed = LittleEndian.getLong(body, at + 5);
         int attempt = LittleEndian.getShort(body, at + 13);
         double begun = number(at + 21, "elapsed");
-        return () -> balancer.streamStarted(now, streamed, attempt, begun);
+        return () -> balancer.responseStarted(now, streamed, attempt, begun);
       case 4:
-        Outcome outcome = readOutcome(at);
+        AttemptResult outcome = readOutcome(at);
         return () -> balancer.attemptFinished(now, outcome);
       case 5:
         long gone = LittleEndian.getLong(body, at + 5);
-        return () -> balancer.clientGone(now, gone);
+        return () -> balancer.clientDisconnected(now, gone);
       case 6:
         long token = LittleEndian.getLong(body, at + 5);
-        return () -> balancer.timer(now, token);
+        return () -> balancer.timerExpired(now, token);
       case 7:
         long upstream = LittleEndian.getUpstream(body, at + 5);
-        Result result = result(LittleEndian.getByte(body, at + 11));
+        AttemptOutcome result = result(LittleEndian.getByte(body, at + 11));
         double elapsed = number(at + 12, "elapsed");
         double[] report = report(at + 20);
-        return () -> balancer.probeResult(now, upstream, result, elapsed, report);
+        return () -> balancer.healthCheckCompleted(now, upstream, result, elapsed, report);
       default:
         int sender = LittleEndian.getShort(body, at + 5);
         byte[] payload = tail(at + 7, 1);
-        return () -> balancer.peerMessage(now, sender, payload);
+        return () -> balancer.peerMessageReceived(now, sender, payload);
     }
   }
 
-  private Runnable decodeDiscovery(int at, LoadBalancer balancer) {
+  private Runnable decodeDiscovery(int at, LoadBalancingPolicy balancer) {
     double now = clock;
     int mode = LittleEndian.getByte(body, at + 5);
     if (mode > 3) {
       throw new MalformedInputException("unknown list kind " + mode);
     }
-    Change change = Change.values()[mode];
-    if (change == Change.FAILED) {
-      return () -> balancer.upstreamsChanged(now, change, List.of());
+    EndpointUpdateType change = EndpointUpdateType.values()[mode];
+    if (change == EndpointUpdateType.FAILED) {
+      return () -> balancer.endpointsChanged(now, change, List.of());
     }
-    List<Upstream> list = lists.get(listNumber(at + 10));
+    List<Endpoint> list = lists.get(listNumber(at + 10));
     if (list == null) {
       throw new MalformedInputException(
           "list " + LittleEndian.getShort(body, at + 10) + " was never given");
     }
-    return () -> balancer.upstreamsChanged(now, change, list);
+    return () -> balancer.endpointsChanged(now, change, list);
   }
 
   private int listNumber(int at) {
@@ -216,7 +219,7 @@
     int number = listNumber(at + 1);
     int from = tailOffset(at + 3, ENTRY_BYTES);
     int entries = LittleEndian.getInt(body, at + 7);
-    List<Upstream> list = new ArrayList<>(entries);
+    List<Endpoint> list = new ArrayList<>(entries);
     for (int i = 0; i < entries; i++) {
       int entry = from + i * ENTRY_BYTES;
       int state = LittleEndian.getByte(body, entry + 11);
@@ -228,21 +231,21 @@
         throw new MalformedInputException("list entry " + i + ": capacity hint " + weight);
       }
       list.add(
-          new Upstream(
+          new Endpoint(
               LittleEndian.getUpstream(body, entry),
               LittleEndian.getShort(body, entry + 6),
               LittleEndian.getByte(body, entry + 8),
               LittleEndian.getShort(body, entry + 9),
-              State.values()[state],
+              EndpointState.values()[state],
               weight,
               number(entry + 16, "start time")));
     }
     lists.set(number, List.copyOf(list));
   }
 
-  private Request readRequest(int at, Settings settings) {
+  private ClientRequest readRequest(int at, PolicySettings settings) {
     int serviceClass = LittleEndian.getByte(body, at + 13);
-    if (serviceClass >= settings.classes().size()) {
+    if (serviceClass >= settings.requestClasses().size()) {
       throw new MalformedInputException("unknown class " + serviceClass);
     }
     int tenant = LittleEndian.getShort(body, at + 14);
@@ -251,7 +254,7 @@
     }
     int flags = LittleEndian.getByte(body, at + 40);
     double cost = (flags & 1) != 0 ? Math.max(0, number(at + 32, "cost hint")) : 0;
-    return new Request(
+    return new ClientRequest(
         LittleEndian.getLong(body, at + 5),
         serviceClass,
         tenant,
@@ -262,8 +265,8 @@
         (flags & 4) != 0);
   }
 
-  private Outcome readOutcome(int at) {
-    return new Outcome(
+  private AttemptResult readOutcome(int at) {
+    return new AttemptResult(
         LittleEndian.getLong(body, at + 5),
         LittleEndian.getShort(body, at + 21),
         LittleEndian.getUpstream(body, at + 15),
@@ -273,24 +276,24 @@
         report(at + 31));
   }
 
-  private static Result result(int code) {
+  private static AttemptOutcome result(int code) {
     switch (code) {
       case 10:
-        return Result.OK;
+        return AttemptOutcome.OK;
       case 20:
-        return Result.ERROR;
+        return AttemptOutcome.ERROR;
       case 30:
-        return Result.FULL;
+        return AttemptOutcome.FULL;
       case 40:
-        return Result.TIMEOUT;
+        return AttemptOutcome.TIMEOUT;
       case 50:
-        return Result.CONNECT_FAILED;
+        return AttemptOutcome.CONNECT_FAILED;
       case 60:
-        return Result.RESET;
+        return AttemptOutcome.RESET;
       case 70:
-        return Result.CANCELLED;
+        return AttemptOutcome.CANCELLED;
       case 80:
-        return Result.NOT_SENT;
+        return AttemptOutcome.NOT_SENT;
       default:
         throw new MalformedInputException("unknown outcome " + code);
     }
--- a/src/main/java/cranedeal/wire/Main.java
+++ b/src/main/java/loadbalancer/simulation/SimulationMain.java
@@ -1,6 +1,5 @@
-package cranedeal.wire;
+package loadbalancer.simulation;
 
-import cranedeal.LatencyWeightedBalancer;
 import java.io.BufferedInputStream;
 import java.io.BufferedOutputStream;
 import java.io.FileDescriptor;
@@ -10,15 +9,17 @@
 import java.io.InputStream;
 import java.io.OutputStream;
 import java.io.PrintStream;
+import loadbalancer.policy.LatencyWeightedPolicy;
+import loadbalancer.settings.MalformedInputException;
 
 /**
  * The command line: {@code wire} reads batches on standard input and answers on standard output.
  */
-public final class Main {
+public final class SimulationMain {
 
   private static final int BUFFER_BYTES = 1 << 16;
 
-  private Main() {}
+  private SimulationMain() {}
 
   /** Runs the adapter and exits with its status. */
   public static void main(String[] args) {
@@ -30,14 +31,14 @@
 
   static int run(String[] args, InputStream in, OutputStream out, PrintStream err) {
     if (args.length != 1 || !args[0].equals("wire")) {
-      err.println("usage: java -jar cranedeal.jar wire");
+      err.println("usage: java -jar load-balancer.jar wire");
       return 2;
     }
     try {
-      new WireHost(LatencyWeightedBalancer::new).serve(in, out);
+      new SimulationHost(LatencyWeightedPolicy::new).serve(in, out);
       return 0;
     } catch (MalformedInputException | IOException e) {
-      err.println("cranedeal: " + e.getMessage());
+      err.println("load-balancer: " + e.getMessage());
       return 1;
     }
   }
--- a/src/test/java/cranedeal/scale/BalancerFleetTest.java
+++ b/src/test/java/loadbalancer/benchmark/BalancerFleetTest.java
@@ -1,12 +1,8 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cranedeal.scale.ClientStandIn.Kind;
-import cranedeal.scale.ClientStandIn.Outcome;
-import cranedeal.scale.Fleet.Entry;
-import cranedeal.scale.UpstreamStandIn.Received;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -22,6 +18,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import loadbalancer.benchmark.ClientStandIn.Kind;
+import loadbalancer.benchmark.ClientStandIn.Outcome;
+import loadbalancer.benchmark.Fleet.Entry;
+import loadbalancer.benchmark.UpstreamStandIn.Received;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -141,13 +141,13 @@
     String run =
         ServeCommand.fromClasses("-Xshare:auto").replaceFirst("^exec ", "exec taskset -c 0 ");
     List<Thread> clients = new ArrayList<>();
-    List<RealBalancer> balancers = List.of();
+    List<BalancerProcess> balancers = List.of();
     long drainedAt;
     try (DiscoveryStandIn discovery =
         new DiscoveryStandIn(entries.subList(0, UPSTREAMS), new DiscoveryStandInTest.Deaf())) {
       InetSocketAddress asked = discovery.address(DiscoveryStandIn.REAL);
       balancers =
-          RealBalancer.start(
+          BalancerProcess.start(
               BALANCERS, run, (position, listen) -> configuration(position, listen, asked));
       for (int i = 0; i < CLIENTS; i++) {
         clients.add(client("c" + i, balancers.get(i % BALANCERS).address(), REQUESTS, PAUSE_MS));
@@ -160,11 +160,11 @@
       for (Thread client : clients) {
         client.join();
       }
-      for (RealBalancer balancer : balancers) {
+      for (BalancerProcess balancer : balancers) {
         balancer.checkAlive();
       }
     } finally {
-      balancers.forEach(RealBalancer::close);
+      balancers.forEach(BalancerProcess::close);
       upstreams.forEach(UpstreamStandIn::close);
       loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
--- a/src/test/java/cranedeal/scale/ClientStandIn.java
+++ b/src/test/java/loadbalancer/benchmark/ClientStandIn.java
@@ -1,4 +1,4 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/test/java/cranedeal/scale/CommandLineTest.java
+++ b/src/test/java/loadbalancer/benchmark/CommandLineTest.java
@@ -1,4 +1,4 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -31,7 +31,7 @@
     try {
       System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
       System.setErr(new PrintStream(complained, true, StandardCharsets.UTF_8));
-      int status = Main.run(args);
+      int status = BenchmarkMain.run(args);
       return new Ended(
           status,
           said.toString(StandardCharsets.UTF_8),
@@ -61,7 +61,7 @@
     Ended ended = run(args.isEmpty() ? new String[0] : args.split(" "));
     assertTrue(ended.status() != 0, ended.toString());
     assertEquals(1, ended.err().lines().count(), ended.err());
-    assertTrue(ended.err().startsWith("sablehinge-scale: "), ended.err());
+    assertTrue(ended.err().startsWith("load-balancer-benchmark: "), ended.err());
     assertEquals("", ended.out());
   }
 
@@ -101,11 +101,11 @@
   void aBalancerThatDoesNotStartIsOneLineWithItsLastWords() {
     try (DiscoveryStandIn discovery =
         new DiscoveryStandIn(Fleet.entries(1, 1), new DiscoveryStandInTest.Deaf())) {
-      ScaleException e =
+      BenchmarkException e =
           assertThrows(
-              ScaleException.class,
+              BenchmarkException.class,
               () ->
-                  RealBalancer.start(
+                  BalancerProcess.start(
                       2, "echo first; echo no such list; exit 3", discovery, 7, 1, 1));
       assertEquals("a balancer ended with status 3: no such list", e.getMessage());
     }
@@ -114,7 +114,7 @@
   @Test
   void aSlopeNeedsTwoSizes() {
     assertThrows(
-        ScaleException.class,
+        BenchmarkException.class,
         () -> FitCommand.describe(Map.of(1L, List.of(new double[] {3, 1}, new double[] {3, 2}))));
   }
 }
--- a/src/test/java/cranedeal/scale/DiscoveryStandInTest.java
+++ b/src/test/java/loadbalancer/benchmark/DiscoveryStandInTest.java
@@ -1,11 +1,10 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import cranedeal.scale.Fleet.Entry;
 import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -16,6 +15,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.benchmark.Fleet.Entry;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/cranedeal/scale/ServeCommand.java
+++ b/src/test/java/loadbalancer/benchmark/ServeCommand.java
@@ -1,4 +1,4 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import java.io.File;
 import java.io.IOException;
@@ -24,8 +24,8 @@
                         || path.contains("jackson")
                         || path.endsWith("target" + File.separator + "classes"))
             .collect(Collectors.joining(File.pathSeparator));
-    return RealBalancer.run()
+    return BalancerProcess.run()
         .replaceAll("-XX:SharedArchiveFile=\\S+", option)
-        .replaceAll("-jar \\S+", "-cp " + libraries + " cranedeal.node.Main");
+        .replaceAll("-jar \\S+", "-cp " + libraries + " loadbalancer.proxy.Main");
   }
 }
--- a/src/test/java/cranedeal/scale/ScopeTest.java
+++ b/src/test/java/loadbalancer/benchmark/ServingScopeTest.java
@@ -1,4 +1,4 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,9 +12,10 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The scale run is out of reach of the program that serves. */
-class ScopeTest {
+class ServingScopeTest {
 
-  private static final String SCALE = "cranedeal[./]scale|picocli|HdrHistogram|HollowBalancer";
+  private static final String SCALE =
+      "loadbalancer[./]benchmark|picocli|HdrHistogram|SimulatedBalancer";
 
   /**
    * Without its class archive serve had loaded 2,740 to 2,743 classes and taken 66,588 to 67,488 KB
@@ -33,16 +34,13 @@
       List<Path> sources =
           files
               .filter(file -> file.toString().endsWith(".java"))
-              .filter(file -> !file.toString().matches(".*(scale.[^/]*|HollowBalancer.java)"))
+              .filter(file -> !file.toString().matches(".*benchmark/[^/]*"))
               .toList();
       assertTrue(sources.size() > 20, sources.toString());
       for (Path source : sources) {
         assertFalse(Files.readString(source).matches("(?s).*(" + SCALE + ").*"), source.toString());
       }
     }
-    assertFalse(
-        Files.readString(Path.of("src/main/java/cranedeal/node/HollowBalancer.java"))
-            .matches("(?s).*(cranedeal.scale|picocli|HdrHistogram).*"));
   }
 
   /** With run's own flags and the libraries of its jar alone. */
@@ -52,12 +50,12 @@
     String run = ServeCommand.fromClasses("-Xlog:class+load:file=" + loaded);
     try (DiscoveryStandIn discovery =
         new DiscoveryStandIn(Fleet.entries(10, 2), new DiscoveryStandInTest.Deaf())) {
-      List<RealBalancer> balancers = RealBalancer.start(1, run, discovery, 7, 1, 2);
+      List<BalancerProcess> balancers = BalancerProcess.start(1, run, discovery, 7, 1, 2);
       try {
         double most = balancers.get(0).memoryKb("VmHWM");
         assertTrue(most < MOST_KB, most + " KB");
       } finally {
-        balancers.forEach(RealBalancer::close);
+        balancers.forEach(BalancerProcess::close);
       }
     }
     List<String> classes = Files.readAllLines(loaded);
--- a/src/test/java/cranedeal/scale/SmallScaleRunTest.java
+++ b/src/test/java/loadbalancer/benchmark/SmallBenchmarkTest.java
@@ -1,12 +1,9 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import cranedeal.node.HollowBalancer;
-import cranedeal.scale.Fleet.Entry;
-import cranedeal.scale.Traffic.Kind;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -14,12 +11,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.benchmark.Fleet.Entry;
+import loadbalancer.benchmark.Traffic.Kind;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The scale run in small: what it counts and what doesn't depend on the machine. */
-class SmallScaleRunTest {
+class SmallBenchmarkTest {
 
   private static final int BALANCERS = 24;
   private static final int LIST = 40;
@@ -63,7 +62,7 @@
     List<Entry> entries =
         Fleet.entries(LIST, ZONES).stream().map(entry -> entry.with("up", LONG_AGO)).toList();
     try (DiscoveryStandIn discovery = new DiscoveryStandIn(entries, new Stamps());
-        HollowFleet fleet = fleet(discovery)) {
+        SimulatedFleet fleet = fleet(discovery)) {
       fleet.start(position -> true);
       assertEquals(0, fleet.await(1, PATIENCE_S));
       for (int i = 1; i <= 5; i++) {
@@ -100,10 +99,10 @@
     assertTrue(is >= least && is <= most, is + " is not from " + least + " to " + most);
   }
 
-  private HollowFleet fleet(DiscoveryStandIn discovery) {
+  private SimulatedFleet fleet(DiscoveryStandIn discovery) {
     InetSocketAddress address = discovery.address(DiscoveryStandIn.HOLLOW);
-    return new HollowFleet(
-        HollowBalancer.Template.parse(Fleet.config(NOWHERE, address, 7, BALANCERS, 1, ZONES)),
+    return new SimulatedFleet(
+        SimulatedBalancer.Template.parse(Fleet.config(NOWHERE, address, 7, BALANCERS, 1, ZONES)),
         BALANCERS,
         1,
         7,
@@ -116,8 +115,8 @@
   @ParameterizedTest
   @ValueSource(ints = {10, 100, 1_000, 4_000})
   void aCallIsOneSendAndLooksAtNoServerTwice(int length) throws Exception {
-    HollowBalancer.Template template =
-        HollowBalancer.Template.parse(Fleet.config(NOWHERE, NOWHERE, 7, length, 0, ZONES));
+    SimulatedBalancer.Template template =
+        SimulatedBalancer.Template.parse(Fleet.config(NOWHERE, NOWHERE, 7, length, 0, ZONES));
     byte[] list =
         Fleet.list(1, true, Fleet.entries(length, ZONES)).getBytes(StandardCharsets.US_ASCII);
     Point point = new Point("calls", 7);
@@ -134,11 +133,11 @@
   @Test
   void callsReachNoMoreServersThanThereAre() throws Exception {
     for (int length : new int[] {5, 1_000}) {
-      HollowBalancer.Template template =
-          HollowBalancer.Template.parse(Fleet.config(NOWHERE, NOWHERE, 7, length, 0, ZONES));
+      SimulatedBalancer.Template template =
+          SimulatedBalancer.Template.parse(Fleet.config(NOWHERE, NOWHERE, 7, length, 0, ZONES));
       byte[] list =
           Fleet.list(1, true, Fleet.entries(length, ZONES)).getBytes(StandardCharsets.US_ASCII);
-      ModuleRun run = new ModuleRun(template.settings(), template.list(list), 10, 7);
+      PolicyRun run = new PolicyRun(template.settings(), template.list(list), 10, 7);
       int reached = run.reached(10_000);
       assertTrue(reached > 0 && reached <= Math.min(100, length), reached + " of " + length);
       assertEquals(100, run.sends());
--- a/src/test/java/cranedeal/scale/UpstreamStandIn.java
+++ b/src/test/java/loadbalancer/benchmark/UpstreamStandIn.java
@@ -1,4 +1,4 @@
-package cranedeal.scale;
+package loadbalancer.benchmark;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
--- a/src/test/java/cranedeal/EmbeddingExampleTest.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingExampleTest.java
@@ -1,4 +1,4 @@
-package cranedeal;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,25 +7,31 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import loadbalancer.model.AttemptOutcome;
+import loadbalancer.model.AttemptResult;
+import loadbalancer.model.ClientRequest;
+import loadbalancer.model.Endpoint;
+import loadbalancer.model.EndpointState;
+import loadbalancer.model.EndpointUpdateType;
+import loadbalancer.model.PolicySettings;
 import org.junit.jupiter.api.Test;
 
 /** The embedding example of the README, compiled and run; the page's text must be this file's. */
 class EmbeddingExampleTest {
 
   // example begins
-  static LoadBalancer host(
-      LoadBalancer.Actions actions, LoadBalancer.Settings settings, double now) {
-    LoadBalancer balancer = new LatencyWeightedBalancer(actions);
+  static LoadBalancingPolicy host(PolicyActions actions, PolicySettings settings, double now) {
+    LoadBalancingPolicy balancer = new LatencyWeightedPolicy(actions);
     balancer.start(now, settings, 42);
-    balancer.upstreamsChanged(
+    balancer.endpointsChanged(
         now,
-        LoadBalancer.Change.CACHED,
-        List.of(new LoadBalancer.Upstream(1, 0, 0, 0, LoadBalancer.State.READY, 1, 0)));
+        EndpointUpdateType.CACHED,
+        List.of(new Endpoint(1, 0, 0, 0, EndpointState.READY, 1, 0)));
     // A client's request: the balancer answers with actions.send(7, 1, time-out) during this call.
-    balancer.request(now, new LoadBalancer.Request(7, 0, 0, 0, now + 2_000, 0, false, false));
+    balancer.requestArrived(now, new ClientRequest(7, 0, 0, 0, now + 2_000, 0, false, false));
     // The attempt was served after 12 ms; 'true' says that the client has its answer.
     balancer.attemptFinished(
-        now + 12, new LoadBalancer.Outcome(7, 0, 1, LoadBalancer.Result.OK, true, 12, null));
+        now + 12, new AttemptResult(7, 0, 1, AttemptOutcome.OK, true, 12, null));
     return balancer;
   }
 
@@ -33,15 +39,16 @@
 
   @Test
   void theExampleSendsItsRequest() {
-    Bench bench = new Bench(Sites.plain().build(), 1);
-    host(bench, Sites.plain().build(), 100_000);
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().build(), 1);
+    host(bench, TestSettings.plain().build(), 100_000);
     assertEquals(7, bench.lastSend().request());
     assertEquals(1, bench.lastSend().upstream());
   }
 
   @Test
   void theReadmeShowsThisExample() throws IOException {
-    String own = Files.readString(Path.of("src/test/java/cranedeal/EmbeddingExampleTest.java"));
+    String own =
+        Files.readString(Path.of("src/test/java/loadbalancer/policy/EmbeddingExampleTest.java"));
     String begin = "// example begins\n";
     String code =
         own.substring(own.indexOf(begin) + begin.length(), own.indexOf("  // example ends"));
--- a/src/test/java/cranedeal/ModuleTest.java
+++ b/src/test/java/loadbalancer/policy/LatencyWeightedPolicyTest.java
@@ -1,14 +1,9 @@
-package cranedeal;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cranedeal.LoadBalancer.Change;
-import cranedeal.LoadBalancer.Group;
-import cranedeal.LoadBalancer.Repeat;
-import cranedeal.LoadBalancer.Result;
-import cranedeal.LoadBalancer.State;
 import java.util.ArrayDeque;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -16,24 +11,30 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import loadbalancer.model.AttemptOutcome;
+import loadbalancer.model.DeduplicationScope;
+import loadbalancer.model.EndpointState;
+import loadbalancer.model.EndpointUpdateType;
+import loadbalancer.model.Idempotency;
+import loadbalancer.model.PolicySettings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Hand-made events in virtual time. */
-class ModuleTest {
+class LatencyWeightedPolicyTest {
 
   private static final double NOW = 100_000;
 
   @Test
   void picksAreInProportionToOneOverL() {
     // Two servers, one answering in half the time of the other: it is drawn twice as often.
-    Bench bench = new Bench(Sites.plain().build(), 7);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().build(), 7);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     for (int i = 0; i < 2_000; i++) {
       bench.request(i, 0);
       bench.advance(bench.lastSend().upstream() == 1 ? 100 : 200);
-      bench.finish(bench.lastSend(), Result.OK);
+      bench.finish(bench.lastSend(), AttemptOutcome.OK);
     }
     Map<Long, Integer> drawn = new HashMap<>();
     bench.sends.forEach(s -> drawn.merge(s.upstream(), 1, Integer::sum));
@@ -45,16 +46,16 @@
 
   @Test
   void failuresLowerAServersShareButDoNotEndIt() {
-    Bench bench = new Bench(Sites.plain().tier(1).build(), 3);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().tier(1).build(), 3);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     int toFailing = 0;
     for (int i = 0; i < 2_000; i++) {
       bench.request(i, 0);
       bench.advance(100);
       while (bench.isOpen(i)) {
-        Bench.Sent sent = bench.lastSend();
+        PolicyHarness.Sent sent = bench.lastSend();
         toFailing += sent.upstream() == 1 ? 1 : 0;
-        bench.finish(sent, sent.upstream() == 1 ? Result.ERROR : Result.OK);
+        bench.finish(sent, sent.upstream() == 1 ? AttemptOutcome.ERROR : AttemptOutcome.OK);
       }
     }
     assertTrue(toFailing > 5 && toFailing < 300, "sent to the failing server: " + toFailing);
@@ -62,15 +63,20 @@
 
   @Test
   void aHungServerLosesItsShareBeforeItsCallsTimeOut() {
-    Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).build(), 5);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
+    PolicyHarness bench =
+        new PolicyHarness(TestSettings.plain().repeat(Idempotency.AT_MOST_ONCE).build(), 5);
+    bench.list(
+        EndpointUpdateType.CACHED,
+        TestSettings.server(1),
+        TestSettings.server(2),
+        TestSettings.server(3));
     int hung = 0;
     for (int i = 0; i < 600; i++) {
       bench.request(i, 0);
       bench.advance(10);
-      Bench.Sent sent = bench.lastSend();
+      PolicyHarness.Sent sent = bench.lastSend();
       if (sent.upstream() != 1 || i < 300) {
-        bench.finish(sent, Result.OK);
+        bench.finish(sent, AttemptOutcome.OK);
       } else {
         hung++;
       }
@@ -80,8 +86,9 @@
 
   @Test
   void oneOverdueCallIsEnoughToAvoidItsServer() {
-    Bench bench = new Bench(Sites.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).build(), 5);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench =
+        new PolicyHarness(TestSettings.plain().tier(1).repeat(Idempotency.AT_MOST_ONCE).build(), 5);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     bench.request(0, 0);
     long hung = bench.lastSend().upstream();
     bench.advance(1_500);
@@ -89,17 +96,18 @@
     for (int i = 1; i <= 200; i++) {
       bench.request(i, 0);
       toHung += bench.lastSend().upstream() == hung ? 1 : 0;
-      bench.finishAfter(bench.lastSend(), Result.OK, 100);
+      bench.finishAfter(bench.lastSend(), AttemptOutcome.OK, 100);
     }
     assertTrue(toHung < 20, "sent to the server with the overdue call: " + toHung);
   }
 
   @Test
   void anUnsafeRequestThatMayHaveRunFails() {
-    Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench =
+        new PolicyHarness(TestSettings.plain().repeat(Idempotency.AT_MOST_ONCE).build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     bench.request(1, 0);
-    bench.finish(bench.lastSend(), Result.TIMEOUT);
+    bench.finish(bench.lastSend(), AttemptOutcome.TIMEOUT);
     assertEquals(1, bench.sends.size());
     assertEquals(List.of(1L), bench.failed);
     assertTrue(bench.refused.isEmpty());
@@ -107,10 +115,11 @@
 
   @Test
   void anUnsafeRequestThatProvablyNeverRanIsSentAgain() {
-    Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench =
+        new PolicyHarness(TestSettings.plain().repeat(Idempotency.AT_MOST_ONCE).build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     bench.request(1, 0);
-    bench.finish(bench.lastSend(), Result.FULL);
+    bench.finish(bench.lastSend(), AttemptOutcome.FULL);
     assertEquals(2, bench.sends.size());
     assertFalse(bench.sends.get(0).upstream() == bench.sends.get(1).upstream());
   }
@@ -119,28 +128,37 @@
   void aKeyedRequestIsNotSentAgainWhereItsWindowMayEndBeforeItsConnectionIsUp() {
     // It may take 100 ms to connect.
     for (int[] waitAndSends : new int[][] {{395, 2}, {400, 1}, {499, 1}}) {
-      Bench bench =
-          new Bench(Sites.plain().tier(1).repeat(Repeat.DEDUPLICATED).memory(500).build(), 1);
-      bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+      PolicyHarness bench =
+          new PolicyHarness(
+              TestSettings.plain().tier(1).repeat(Idempotency.DEDUPLICATED).memory(500).build(), 1);
+      bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
       bench.request(1, 0);
       bench.advance(waitAndSends[0]);
-      bench.finish(bench.lastSend(), Result.RESET);
+      bench.finish(bench.lastSend(), AttemptOutcome.RESET);
       assertEquals(waitAndSends[1], bench.sends.size(), "after " + waitAndSends[0] + " ms");
     }
   }
 
   @Test
   void aKeyedRequestStaysInItsGroupAndWindow() {
-    Bench bench =
-        new Bench(
-            Sites.plain().tier(1).repeat(Repeat.DEDUPLICATED).group(Group.CELL).memory(500).build(),
+    PolicyHarness bench =
+        new PolicyHarness(
+            TestSettings.plain()
+                .tier(1)
+                .repeat(Idempotency.DEDUPLICATED)
+                .group(DeduplicationScope.GROUP)
+                .memory(500)
+                .build(),
             1);
     bench.list(
-        Change.CACHED, Sites.server(1).cell(0), Sites.server(2).cell(0), Sites.server(3).cell(1));
+        EndpointUpdateType.CACHED,
+        TestSettings.server(1).cell(0),
+        TestSettings.server(2).cell(0),
+        TestSettings.server(3).cell(1));
     for (int i = 0; i < 50; i++) {
       bench.request(i, 0);
-      Bench.Sent first = bench.lastSend();
-      bench.finish(first, Result.ERROR);
+      PolicyHarness.Sent first = bench.lastSend();
+      bench.finish(first, AttemptOutcome.ERROR);
       if (first.upstream() == 3) {
         assertTrue(bench.failed.contains((long) i) || bench.lastSend().upstream() == 3);
       } else {
@@ -149,7 +167,7 @@
       if (bench.isOpen(i)) {
         int sent = bench.sends.size();
         bench.advance(500);
-        bench.finish(bench.lastSend(), Result.ERROR);
+        bench.finish(bench.lastSend(), AttemptOutcome.ERROR);
         assertEquals(sent, bench.sends.size(), "sent after the window");
         assertTrue(bench.failed.contains((long) i));
       }
@@ -159,62 +177,73 @@
 
   @Test
   void nothingGoesToAServerThatDrainsOrIsGone() {
-    Bench bench = new Bench(Sites.plain().build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().build(), 1);
+    bench.list(
+        EndpointUpdateType.CACHED,
+        TestSettings.server(1),
+        TestSettings.server(2),
+        TestSettings.server(3));
     bench.list(
-        Change.DELTA, Sites.server(1).state(State.DRAINING), Sites.server(2).state(State.REMOVED));
+        EndpointUpdateType.DELTA,
+        TestSettings.server(1).state(EndpointState.DRAINING),
+        TestSettings.server(2).state(EndpointState.REMOVED));
     for (int i = 0; i < 100; i++) {
       bench.request(i, 0);
       assertEquals(3, bench.lastSend().upstream());
-      bench.finish(bench.lastSend(), Result.OK);
+      bench.finish(bench.lastSend(), AttemptOutcome.OK);
     }
   }
 
   @Test
   void aRequestWithoutAnyReadyServerWaitsForOneAndIsAnsweredInTime() {
-    Bench bench = new Bench(Sites.plain().build(), 1);
-    bench.list(Change.CACHED);
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().build(), 1);
+    bench.list(EndpointUpdateType.CACHED);
     bench.request(1, 0);
     bench.request(2, 0);
     assertTrue(bench.isOpen(1) && bench.sends.isEmpty());
     bench.advance(100);
-    bench.list(Change.FULL, Sites.server(1));
+    bench.list(EndpointUpdateType.FULL, TestSettings.server(1));
     bench.advance(50);
     assertEquals(2, bench.sends.size());
-    bench.list(Change.DELTA, Sites.server(1).state(State.REMOVED));
+    bench.list(EndpointUpdateType.DELTA, TestSettings.server(1).state(EndpointState.REMOVED));
     bench.request(3, 0);
     bench.advance(5_000);
     assertEquals(List.of(3L), bench.refused);
     // A request that nothing was sent for is given back while its client can still use its time.
     bench.request(4, 0);
-    bench.advance(Sites.DEADLINE * 0.48);
+    bench.advance(TestSettings.DEADLINE * 0.48);
     assertEquals(List.of(3L, 4L), bench.refused);
     assertTrue(
-        bench.retryAfter > 0 && bench.retryAfter <= Sites.AIM / 2, "after " + bench.retryAfter);
+        bench.retryAfter > 0 && bench.retryAfter <= TestSettings.AIM / 2,
+        "after " + bench.retryAfter);
   }
 
   @Test
   void aSecondCopyFollowsASlowCallAndTheLoserIsCancelled() {
-    Bench bench = new Bench(Sites.plain().parallel(true).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().parallel(true).build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     bench.request(1, 0);
-    Bench.Sent first = bench.lastSend();
+    PolicyHarness.Sent first = bench.lastSend();
     bench.advance(1_000);
     assertEquals(2, bench.sends.size());
-    bench.finish(bench.lastSend(), Result.OK);
+    bench.finish(bench.lastSend(), AttemptOutcome.OK);
     assertEquals(List.of(first), bench.cancelled);
-    bench.finish(first, Result.CANCELLED);
+    bench.finish(first, AttemptOutcome.CANCELLED);
     assertEquals(2, bench.sends.size());
   }
 
   @Test
   void extraAttemptsStayBoundedWhenEverythingFails() {
-    Bench bench = new Bench(Sites.plain().tier(1).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().tier(1).build(), 1);
+    bench.list(
+        EndpointUpdateType.CACHED,
+        TestSettings.server(1),
+        TestSettings.server(2),
+        TestSettings.server(3));
     for (int i = 0; i < 1_000; i++) {
       bench.request(i, 0);
       while (bench.isOpen(i)) {
-        bench.finish(bench.lastSend(), Result.ERROR);
+        bench.finish(bench.lastSend(), AttemptOutcome.ERROR);
       }
       bench.advance(10);
     }
@@ -224,22 +253,22 @@
 
   @Test
   void attemptsThatReachedNoServerAreNotChargedToTheBudget() {
-    Bench bench = new Bench(Sites.plain().build(), 1);
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().build(), 1);
     bench.list(
-        Change.CACHED,
-        Sites.server(1),
-        Sites.server(2),
-        Sites.server(3),
-        Sites.server(4),
-        Sites.server(5));
+        EndpointUpdateType.CACHED,
+        TestSettings.server(1),
+        TestSettings.server(2),
+        TestSettings.server(3),
+        TestSettings.server(4),
+        TestSettings.server(5));
     for (int i = 0; i < 40; i++) {
       bench.request(i, 0);
       for (int failed = 0; failed < 2; failed++) {
         int sends = bench.sends.size();
-        bench.finish(bench.lastSend(), Result.CONNECT_FAILED);
+        bench.finish(bench.lastSend(), AttemptOutcome.CONNECT_FAILED);
         assertEquals(sends + 1, bench.sends.size(), "request " + i + " was given up");
       }
-      bench.finish(bench.lastSend(), Result.OK);
+      bench.finish(bench.lastSend(), AttemptOutcome.OK);
       bench.advance(50);
     }
     // The cap on the attempts of one request holds all the same.
@@ -247,7 +276,7 @@
     bench.request(40, 0);
     for (int i = 0; i < 4; i++) {
       assertEquals(sends + i + 1, bench.sends.size());
-      bench.finish(bench.lastSend(), Result.CONNECT_FAILED);
+      bench.finish(bench.lastSend(), AttemptOutcome.CONNECT_FAILED);
     }
     assertEquals(sends + 4, bench.sends.size());
     assertEquals(List.of(40L), bench.refused);
@@ -255,14 +284,18 @@
 
   @Test
   void extraAttemptsThatServeAreNotBoundedByTheBudget() {
-    Bench bench = new Bench(Sites.plain().tier(1).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().tier(1).build(), 1);
+    bench.list(
+        EndpointUpdateType.CACHED,
+        TestSettings.server(1),
+        TestSettings.server(2),
+        TestSettings.server(3));
     int served = 0;
     for (int i = 0; i < 500; i++) {
       bench.request(i, 0);
       for (int attempt = 0; bench.isOpen(i); attempt++) {
         served += attempt;
-        bench.finish(bench.lastSend(), attempt == 0 ? Result.ERROR : Result.OK);
+        bench.finish(bench.lastSend(), attempt == 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK);
       }
       bench.advance(10);
     }
@@ -271,17 +304,17 @@
 
   @Test
   void idleConnectionsAreGivenBackOnlyToTheServerThatTurnsConnectionsAway() {
-    Bench bench = new Bench(Sites.plain().build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     bench.request(1, 0);
-    bench.finish(bench.lastSend(), Result.OK);
+    bench.finish(bench.lastSend(), AttemptOutcome.OK);
     assertEquals(0, bench.closed);
     bench.request(2, 0);
     long full = bench.lastSend().upstream();
-    bench.finish(bench.lastSend(), Result.CONNECT_FAILED);
+    bench.finish(bench.lastSend(), AttemptOutcome.CONNECT_FAILED);
     assertEquals(1, bench.closed);
     assertTrue(bench.lastSend().upstream() != full);
-    bench.finish(bench.lastSend(), Result.OK);
+    bench.finish(bench.lastSend(), AttemptOutcome.OK);
     assertEquals(1, bench.closed, "the other server's connections are kept");
   }
 
@@ -291,17 +324,17 @@
     int servers = 10;
     int toCold = 0;
     for (int s = 0; s < siblings; s++) {
-      Bench bench = new Bench(Sites.plain().siblings(siblings).build(), s);
-      Sites.Server[] list = new Sites.Server[servers];
+      PolicyHarness bench = new PolicyHarness(TestSettings.plain().siblings(siblings).build(), s);
+      TestSettings.EndpointBuilder[] list = new TestSettings.EndpointBuilder[servers];
       for (int i = 0; i < servers; i++) {
-        list[i] = Sites.server(i + 1);
+        list[i] = TestSettings.server(i + 1);
       }
       list[0].startedAt(NOW);
-      bench.list(Change.CACHED, list);
+      bench.list(EndpointUpdateType.CACHED, list);
       for (int i = 0; i < 40; i++) {
         bench.request(i, 0);
         toCold += bench.lastSend().upstream() == 1 ? 1 : 0;
-        bench.finish(bench.lastSend(), Result.OK);
+        bench.finish(bench.lastSend(), AttemptOutcome.OK);
       }
     }
     // A warm server takes 240 of the 2400 calls; a cold one can do 0.2 of that and falls at 3 times
@@ -311,10 +344,10 @@
 
   @Test
   void aSubscriptionIsAskedForAtStartAndAgainAfterAFailure() {
-    Bench bench = new Bench(Sites.plain().subscribe(true).build(), 1);
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().subscribe(true).build(), 1);
     assertEquals(1, bench.watches);
-    bench.list(Change.CACHED, Sites.server(1));
-    bench.list(Change.FAILED);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1));
+    bench.list(EndpointUpdateType.FAILED);
     assertEquals(1, bench.watches);
     bench.advance(10_000);
     assertEquals(2, bench.watches);
@@ -324,14 +357,15 @@
   void aFailedCallToTheRegistryIsMadeAgainSoonAndEverMoreRarelyAndNotInStep() {
     double[][] waits = new double[20][];
     for (int seed = 0; seed < waits.length; seed++) {
-      Bench bench =
-          new Bench(Sites.plain().subscribe(true).siblings(20).position(seed).build(), seed);
-      bench.list(Change.CACHED, Sites.server(1));
+      PolicyHarness bench =
+          new PolicyHarness(
+              TestSettings.plain().subscribe(true).siblings(20).position(seed).build(), seed);
+      bench.list(EndpointUpdateType.CACHED, TestSettings.server(1));
       waits[seed] = new double[7];
       for (int i = 0; i < 6; i++) {
         waits[seed][i] = waitToAskAgain(bench);
       }
-      bench.list(Change.DELTA, Sites.server(2));
+      bench.list(EndpointUpdateType.DELTA, TestSettings.server(2));
       waits[seed][6] = waitToAskAgain(bench);
       // What a watch of 2 s in silence and two failures miss is asked for within 6 s.
       assertTrue(waits[seed][0] + waits[seed][1] < 1_000, Arrays.toString(waits[seed]));
@@ -350,14 +384,14 @@
   void whereNewsIsPushedTheNextCallComesWithinTheGraceOfADrainHoweverManyFailed() {
     double[] last = new double[20];
     for (int seed = 0; seed < last.length; seed++) {
-      LoadBalancer.Settings settings = Sites.plain().siblings(20).position(seed).build();
-      Bench bench = new Bench(settings, seed);
-      bench.list(Change.CACHED, Sites.server(1));
+      PolicySettings settings = TestSettings.plain().siblings(20).position(seed).build();
+      PolicyHarness bench = new PolicyHarness(settings, seed);
+      bench.list(EndpointUpdateType.CACHED, TestSettings.server(1));
       for (int i = 0; i < 8; i++) {
         // Half of it is left to ask and to be told.
         last[seed] = waitToAskAgain(bench);
         assertTrue(
-            last[seed] <= settings.rules().drainGrace() / 2 + 1, "asked after " + last[seed]);
+            last[seed] <= settings.rules().drainGraceMillis() / 2 + 1, "asked after " + last[seed]);
       }
     }
     long instants = Arrays.stream(last).mapToLong(wait -> (long) wait / 25).distinct().count();
@@ -369,11 +403,15 @@
   void theNextCallToTheRegistryNeverWaitsForAThirdOfTheTimeAfterWhichNewsCountsAsTold(
       boolean subscribe) {
     for (int seed = 0; seed < 20; seed++) {
-      Bench bench =
-          new Bench(
-              Sites.plain().subscribe(subscribe).askEvery(600_000).drainGrace(600_000).build(),
+      PolicyHarness bench =
+          new PolicyHarness(
+              TestSettings.plain()
+                  .subscribe(subscribe)
+                  .askEvery(600_000)
+                  .drainGrace(600_000)
+                  .build(),
               seed);
-      bench.list(Change.CACHED, Sites.server(1));
+      bench.list(EndpointUpdateType.CACHED, TestSettings.server(1));
       for (int i = 0; i < 30; i++) {
         double wait = waitToAskAgain(bench);
         assertTrue(wait <= 2_001, "asked after " + wait + " ms, failure " + i);
@@ -382,10 +420,10 @@
   }
 
   /** Fails a call to the registry and returns after how many ms the next one comes. */
-  private static double waitToAskAgain(Bench bench) {
+  private static double waitToAskAgain(PolicyHarness bench) {
     int watches = bench.watches;
     double failedAt = bench.now;
-    bench.list(Change.FAILED);
+    bench.list(EndpointUpdateType.FAILED);
     for (int i = 0; i < 20_000 && bench.watches == watches; i++) {
       bench.advance(1);
     }
@@ -395,12 +433,12 @@
 
   @Test
   void sixInTenOfSixtyServersAreReplacedWithNoCallToThoseThatLeftAndNoRushToTheNew() {
-    Bench bench = new Bench(Sites.plain().tier(1).build(), 1);
-    Sites.Server[] list = new Sites.Server[60];
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().tier(1).build(), 1);
+    TestSettings.EndpointBuilder[] list = new TestSettings.EndpointBuilder[60];
     for (int i = 0; i < list.length; i++) {
-      list[i] = Sites.server(i + 1);
+      list[i] = TestSettings.server(i + 1);
     }
-    bench.list(Change.CACHED, list);
+    bench.list(EndpointUpdateType.CACHED, list);
     double[] startedAt = new double[36];
     int[] early = new int[36];
     int[] all = new int[36];
@@ -411,12 +449,13 @@
       if (step < 36) {
         startedAt[step] = bench.now;
         bench.list(
-            Change.DELTA,
-            Sites.server(step + 1).state(State.DRAINING),
-            Sites.server(101 + step).startedAt(bench.now));
+            EndpointUpdateType.DELTA,
+            TestSettings.server(step + 1).state(EndpointState.DRAINING),
+            TestSettings.server(101 + step).startedAt(bench.now));
       }
       if (step >= 5 && step < 41) {
-        bench.list(Change.DELTA, Sites.server(step - 4).state(State.REMOVED));
+        bench.list(
+            EndpointUpdateType.DELTA, TestSettings.server(step - 4).state(EndpointState.REMOVED));
       }
       for (int i = 0; i < 10; i++) {
         bench.request(id++, 0);
@@ -428,7 +467,7 @@
           early[fresh] += bench.now - startedAt[fresh] < 1_500 ? 1 : 0;
         }
         bench.advance(20);
-        bench.finish(bench.lastSend(), Result.OK);
+        bench.finish(bench.lastSend(), AttemptOutcome.OK);
       }
     }
     // A sixtieth of 75 calls in 1.5 s is 1.25; cold, it can do a fifth to a third of it.
@@ -438,29 +477,29 @@
 
   @Test
   void answersInNoTimeAtAllDoNotUpsetTheDraw() {
-    Bench bench = new Bench(Sites.plain().build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     for (int i = 0; i < 3_000; i++) {
       bench.request(i, 0);
-      bench.finish(bench.lastSend(), Result.OK);
+      bench.finish(bench.lastSend(), AttemptOutcome.OK);
     }
     assertEquals(3_000, bench.sends.size());
   }
 
   @Test
   void aColdServersEarningsAndItsRampBothHoldItBack() {
-    Bench bench = new Bench(Sites.plain().tier(1).build(), 4);
-    Sites.Server[] list = new Sites.Server[10];
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().tier(1).build(), 4);
+    TestSettings.EndpointBuilder[] list = new TestSettings.EndpointBuilder[10];
     for (int i = 0; i < list.length; i++) {
-      list[i] = Sites.server(i + 1);
+      list[i] = TestSettings.server(i + 1);
     }
     list[0].startedAt(NOW);
-    bench.list(Change.CACHED, list);
+    bench.list(EndpointUpdateType.CACHED, list);
     int toCold = 0;
     for (int i = 0; i < 10_000; i++) {
       bench.request(i, 0);
       toCold += bench.lastSend().upstream() == 1 ? 1 : 0;
-      bench.finishAfter(bench.lastSend(), Result.OK, 100);
+      bench.finishAfter(bench.lastSend(), AttemptOutcome.OK, 100);
     }
     // Its ramp alone would give it 0.2 of 9.2 shares (217 calls), its earnings 0.9 of that: 195.7.
     // None
@@ -470,20 +509,20 @@
 
   @Test
   void aColdServerIsNotFloodedWhenAllOthersFail() {
-    Bench bench = new Bench(Sites.plain().tier(1).build(), 4);
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().tier(1).build(), 4);
     bench.list(
-        Change.CACHED,
-        Sites.server(1).startedAt(NOW),
-        Sites.server(2),
-        Sites.server(3),
-        Sites.server(4));
+        EndpointUpdateType.CACHED,
+        TestSettings.server(1).startedAt(NOW),
+        TestSettings.server(2),
+        TestSettings.server(3),
+        TestSettings.server(4));
     int toCold = 0;
     for (int i = 0; i < 1_000; i++) {
       bench.request(i, 0);
       while (bench.isOpen(i)) {
         boolean cold = bench.lastSend().upstream() == 1;
         toCold += cold ? 1 : 0;
-        bench.finish(bench.lastSend(), cold ? Result.OK : Result.ERROR);
+        bench.finish(bench.lastSend(), cold ? AttemptOutcome.OK : AttemptOutcome.ERROR);
       }
     }
     // 1100 calls over 3.2 warm servers' worth; it can do 0.2 of one share and falls at 3 times
@@ -493,33 +532,34 @@
 
   @Test
   void aRestartedServerIsColdAgain() {
-    Bench bench = new Bench(Sites.plain().tier(1).build(), 4);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
-    bench.list(Change.DELTA, Sites.server(1).startedAt(NOW));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().tier(1).build(), 4);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
+    bench.list(EndpointUpdateType.DELTA, TestSettings.server(1).startedAt(NOW));
     int toCold = 0;
     for (int i = 0; i < 1_000; i++) {
       bench.request(i, 0);
       toCold += bench.lastSend().upstream() == 1 ? 1 : 0;
-      bench.finishAfter(bench.lastSend(), Result.OK, 100);
+      bench.finishAfter(bench.lastSend(), AttemptOutcome.OK, 100);
     }
     assertTrue(toCold < 170, "sent to the restarted server: " + toCold);
   }
 
   @Test
   void aRestartClearsTheRecord() {
-    Bench bench = new Bench(Sites.plain().tier(1).build(), 4);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().tier(1).build(), 4);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     int toFirst = 0;
     for (int i = 0; i < 1_000; i++) {
       if (i == 500) {
         toFirst = 0;
-        bench.list(Change.DELTA, Sites.server(1).startedAt(NOW - 9_500));
+        bench.list(EndpointUpdateType.DELTA, TestSettings.server(1).startedAt(NOW - 9_500));
       }
       bench.request(i, 0);
       while (bench.isOpen(i)) {
         boolean first = bench.lastSend().upstream() == 1;
         toFirst += first ? 1 : 0;
-        bench.finishAfter(bench.lastSend(), first && i < 500 ? Result.ERROR : Result.OK, 100);
+        bench.finishAfter(
+            bench.lastSend(), first && i < 500 ? AttemptOutcome.ERROR : AttemptOutcome.OK, 100);
       }
     }
     assertTrue(toFirst > 80, "sent after the restart: " + toFirst);
@@ -527,8 +567,8 @@
 
   @Test
   void aStrayTimerSendsNoSecondCopyWhereTwoAtOnceAreForbidden() {
-    Bench bench = new Bench(Sites.plain().build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     bench.request(1, 0);
     bench.timer(1 << 8);
     assertEquals(1, bench.sends.size());
@@ -536,12 +576,12 @@
 
   @Test
   void anOutcomeThatCrossesTheClientsLeavingSendsNothing() {
-    Bench bench = new Bench(Sites.plain().build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     bench.request(1, 0);
-    Bench.Sent sent = bench.lastSend();
+    PolicyHarness.Sent sent = bench.lastSend();
     bench.clientGone(1);
-    bench.finishUnclosed(sent, Result.FULL);
+    bench.finishUnclosed(sent, AttemptOutcome.FULL);
     assertEquals(1, bench.sends.size());
     assertTrue(bench.refused.isEmpty() && bench.failed.isEmpty());
   }
@@ -549,8 +589,9 @@
   @Test
   void underOverloadTheCheapClassIsRefusedFirstAndOnlyWhereClientsArrive() {
     for (int tier = 0; tier < 2; tier++) {
-      Bench bench = new Bench(Sites.plain().tier(tier).lateWorth(0).build(), 1);
-      bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+      PolicyHarness bench =
+          new PolicyHarness(TestSettings.plain().tier(tier).lateWorth(0).build(), 1);
+      bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
       int[] sent = new int[2];
       for (int i = 0; i < 400; i++) {
         int before = bench.sends.size();
@@ -559,7 +600,7 @@
         if (bench.sends.size() > before) {
           sent[i % 2]++;
           // A third of the calls take most of their aim.
-          bench.finishAfter(bench.lastSend(), Result.OK, i % 3 == 0 ? 700 : 100);
+          bench.finishAfter(bench.lastSend(), AttemptOutcome.OK, i % 3 == 0 ? 700 : 100);
         }
       }
       if (tier == 0) {
@@ -572,13 +613,13 @@
 
   @Test
   void refusingEndsSoonAfterItsCauseEvenIfFewCallsAreLeftToTell() {
-    Bench bench = new Bench(Sites.plain().lateWorth(0).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().lateWorth(0).build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     for (int i = 0; i < 200; i++) {
       bench.request(i, 0);
       bench.advance(20);
       if (bench.isOpen(i)) {
-        bench.finishAfter(bench.lastSend(), Result.OK, 900);
+        bench.finishAfter(bench.lastSend(), AttemptOutcome.OK, 900);
       }
     }
     int refusedInTrouble = bench.refused.size();
@@ -587,7 +628,7 @@
       bench.request(i, 0);
       bench.advance(20);
       if (bench.isOpen(i)) {
-        bench.finishAfter(bench.lastSend(), Result.OK, 50);
+        bench.finishAfter(bench.lastSend(), AttemptOutcome.OK, 50);
       }
       if (i == 600) {
         // Eight seconds on.
@@ -599,8 +640,8 @@
 
   @Test
   void markedRetriesAreRefusedBeforeFirstTries() {
-    Bench bench = new Bench(Sites.plain().lateWorth(0).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().lateWorth(0).build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     for (int i = 0; i < 400; i++) {
       if (i % 2 == 0) {
         bench.request(i, 0);
@@ -609,7 +650,7 @@
       }
       bench.advance(20);
       if (bench.isOpen(i)) {
-        bench.finishAfter(bench.lastSend(), Result.OK, 900);
+        bench.finishAfter(bench.lastSend(), AttemptOutcome.OK, 900);
       }
     }
     long retries = bench.refused.stream().filter(id -> id % 2 == 1).count();
@@ -619,13 +660,13 @@
 
   @Test
   void noSecondCopyIsSentWhileWorkIsRefused() {
-    Bench bench = new Bench(Sites.plain().parallel(true).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().parallel(true).build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     for (int i = 0; i < 60; i++) {
       bench.request(i, 0);
       bench.advance(50);
       while (bench.isOpen(i)) {
-        bench.finish(bench.lastSend(), Result.ERROR);
+        bench.finish(bench.lastSend(), AttemptOutcome.ERROR);
       }
     }
     // Otherwise a copy would follow after three times the first guess, 600 ms.
@@ -639,8 +680,10 @@
 
   @Test
   void overloadIsFeltWhileCallsAreStillOut() {
-    Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench =
+        new PolicyHarness(
+            TestSettings.plain().repeat(Idempotency.AT_MOST_ONCE).lateWorth(0).build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     int i = 0;
     for (; i < 40; i++) {
       bench.request(i, 0);
@@ -657,17 +700,19 @@
 
   @Test
   void callsOfAJamSayNothingOfWhatWasRefusedSinceTheyWereSent() {
-    Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
+    PolicyHarness bench =
+        new PolicyHarness(
+            TestSettings.plain().repeat(Idempotency.AT_MOST_ONCE).lateWorth(0).build(), 1);
     bench.list(
-        Change.CACHED,
-        Sites.server(1),
-        Sites.server(2),
-        Sites.server(3),
-        Sites.server(4),
-        Sites.server(5),
-        Sites.server(6),
-        Sites.server(7),
-        Sites.server(8));
+        EndpointUpdateType.CACHED,
+        TestSettings.server(1),
+        TestSettings.server(2),
+        TestSettings.server(3),
+        TestSettings.server(4),
+        TestSettings.server(5),
+        TestSettings.server(6),
+        TestSettings.server(7),
+        TestSettings.server(8));
     for (int i = 0; i < 50; i++) {
       bench.request(i, 0);
       bench.advance(9);
@@ -678,7 +723,7 @@
     for (int i = 50; i < 1_050; i++) {
       bench.request(i, 0);
       if (bench.isOpen(i)) {
-        bench.finishAfter(bench.lastSend(), Result.OK, 50);
+        bench.finishAfter(bench.lastSend(), AttemptOutcome.OK, 50);
       }
     }
     int refused = bench.refused.size();
@@ -688,8 +733,9 @@
   @Test
   void aJamThatMustBeLateIsRefusedAtOnceBeforeAnyCallIsOverdue() {
     for (int tier = 0; tier < 2; tier++) {
-      Bench bench = new Bench(Sites.plain().tier(tier).lateWorth(0).build(), 1);
-      bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+      PolicyHarness bench =
+          new PolicyHarness(TestSettings.plain().tier(tier).lateWorth(0).build(), 1);
+      bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
       for (int i = 0; i < 100; i++) {
         bench.request(i, 1);
         bench.advance(1);
@@ -712,8 +758,15 @@
 
   @Test
   void aServerThatHangsIsNoReasonToRefuseWhatOthersServe() {
-    Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3), Sites.server(4));
+    PolicyHarness bench =
+        new PolicyHarness(
+            TestSettings.plain().repeat(Idempotency.AT_MOST_ONCE).lateWorth(0).build(), 1);
+    bench.list(
+        EndpointUpdateType.CACHED,
+        TestSettings.server(1),
+        TestSettings.server(2),
+        TestSettings.server(3),
+        TestSettings.server(4));
     int hung = 0;
     for (int i = 0; i < 400; ) {
       int sent = bench.sends.size();
@@ -721,12 +774,12 @@
         bench.request(i, 0);
       }
       bench.advance(100);
-      for (Bench.Sent one : List.copyOf(bench.sends.subList(sent, bench.sends.size()))) {
+      for (PolicyHarness.Sent one : List.copyOf(bench.sends.subList(sent, bench.sends.size()))) {
         // It answers nothing; its calls become overdue while they are out.
         if (one.upstream() == 1) {
           hung++;
         } else {
-          bench.finish(one, Result.OK);
+          bench.finish(one, AttemptOutcome.OK);
         }
       }
     }
@@ -736,17 +789,24 @@
 
   @Test
   void aCopyThatRefusesNearlyAllFindsOutSoonThatTheJamIsOver() {
-    Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3), Sites.server(4));
+    PolicyHarness bench =
+        new PolicyHarness(
+            TestSettings.plain().repeat(Idempotency.AT_MOST_ONCE).lateWorth(0).build(), 1);
+    bench.list(
+        EndpointUpdateType.CACHED,
+        TestSettings.server(1),
+        TestSettings.server(2),
+        TestSettings.server(3),
+        TestSettings.server(4));
     int id = 0;
     for (int round = 0; round < 10; round++) {
       int sent = bench.sends.size();
       for (int i = 0; i < 100; i++) {
         bench.request(id++, 0);
       }
-      bench.advance(Sites.AIM);
+      bench.advance(TestSettings.AIM);
       List.copyOf(bench.sends.subList(sent, bench.sends.size()))
-          .forEach(one -> bench.finish(one, Result.TIMEOUT));
+          .forEach(one -> bench.finish(one, AttemptOutcome.TIMEOUT));
     }
     int refused = bench.refused.size();
     for (int i = 0; i < 200; i++) {
@@ -758,7 +818,7 @@
       bench.request(id, 0);
       bench.advance(100);
       if (bench.isOpen(id++)) {
-        bench.finish(bench.lastSend(), Result.OK);
+        bench.finish(bench.lastSend(), AttemptOutcome.OK);
       }
     }
     // From five seconds after the jam on.
@@ -767,31 +827,40 @@
 
   @Test
   void errorsThatComeAtOnceAreNoSignOfOverload() {
-    for (Result result : new Result[] {Result.ERROR, Result.FULL}) {
-      Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
-      bench.list(Change.CACHED, Sites.server(1));
+    for (AttemptOutcome result : new AttemptOutcome[] {AttemptOutcome.ERROR, AttemptOutcome.FULL}) {
+      PolicyHarness bench =
+          new PolicyHarness(
+              TestSettings.plain().repeat(Idempotency.AT_MOST_ONCE).lateWorth(0).build(), 1);
+      bench.list(EndpointUpdateType.CACHED, TestSettings.server(1));
       for (int i = 0; i < 200; i++) {
         bench.request(i, 0);
         if (bench.isOpen(i)) {
           bench.finishAfter(bench.lastSend(), result, 5);
         }
       }
-      long shed = 200 - bench.sends.stream().map(Bench.Sent::request).distinct().count();
-      assertEquals(result == Result.FULL, shed > 0, shed + " refused without a try");
+      long shed = 200 - bench.sends.stream().map(PolicyHarness.Sent::request).distinct().count();
+      assertEquals(result == AttemptOutcome.FULL, shed > 0, shed + " refused without a try");
     }
   }
 
   @Test
   void aSickServerAtHomeIsLeftEvenWhereACrossingIsDear() {
-    Bench bench =
-        new Bench(Sites.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).crossZone(0.2).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2).zone(1), Sites.server(3).zone(1));
+    PolicyHarness bench =
+        new PolicyHarness(
+            TestSettings.plain().tier(1).repeat(Idempotency.AT_MOST_ONCE).crossZone(0.2).build(),
+            1);
+    bench.list(
+        EndpointUpdateType.CACHED,
+        TestSettings.server(1),
+        TestSettings.server(2).zone(1),
+        TestSettings.server(3).zone(1));
     long sick = 0;
     for (int i = 0; i < 1_000; i++) {
       bench.request(i, 0);
       boolean home = bench.lastSend().upstream() == 1;
       sick += home ? 1 : 0;
-      bench.finishAfter(bench.lastSend(), home && i % 10 < 7 ? Result.ERROR : Result.OK, 100);
+      bench.finishAfter(
+          bench.lastSend(), home && i % 10 < 7 ? AttemptOutcome.ERROR : AttemptOutcome.OK, 100);
       // Evidence fades with time alone: a server that is left is tried again by and by.
       bench.advance(40);
     }
@@ -800,23 +869,29 @@
 
   @Test
   void aSickServerThatFailsAtOnceIsNotTakenForAFreeOne() {
-    Bench bench =
-        new Bench(Sites.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).crossZone(0.2).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2).zone(1), Sites.server(3).zone(1));
-    ArrayDeque<Bench.Sent> out = new ArrayDeque<>();
+    PolicyHarness bench =
+        new PolicyHarness(
+            TestSettings.plain().tier(1).repeat(Idempotency.AT_MOST_ONCE).crossZone(0.2).build(),
+            1);
+    bench.list(
+        EndpointUpdateType.CACHED,
+        TestSettings.server(1),
+        TestSettings.server(2).zone(1),
+        TestSettings.server(3).zone(1));
+    ArrayDeque<PolicyHarness.Sent> out = new ArrayDeque<>();
     int lost = 0;
     for (int i = 0; i < 1_000; i++) {
       bench.request(i, 0);
       if (bench.lastSend().upstream() == 1 && i % 10 < 7) {
         lost++;
-        bench.finishAfter(bench.lastSend(), Result.ERROR, 5);
+        bench.finishAfter(bench.lastSend(), AttemptOutcome.ERROR, 5);
       } else {
         out.addLast(bench.lastSend());
       }
       // What is served takes 300 ms, so that some calls are always in flight elsewhere.
       bench.advance(30);
       if (out.size() > 10) {
-        bench.finishAfter(out.pollFirst(), Result.OK, 300);
+        bench.finishAfter(out.pollFirst(), AttemptOutcome.OK, 300);
       }
     }
     assertTrue(lost < 150, lost + " lost at the sick server");
@@ -824,11 +899,12 @@
 
   @Test
   void aDearCrossingIsRareAndAPreferredPartTakesMostCalls() {
-    Bench bench = new Bench(Sites.plain().tier(1).crossZone(0.03).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2).zone(1));
+    PolicyHarness bench =
+        new PolicyHarness(TestSettings.plain().tier(1).crossZone(0.03).build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2).zone(1));
     for (int i = 0; i < 1_000; i++) {
       bench.request(i, 0);
-      bench.finishAfter(bench.lastSend(), Result.OK, 100);
+      bench.finishAfter(bench.lastSend(), AttemptOutcome.OK, 100);
     }
     long crossed = bench.sends.stream().filter(s -> s.upstream() == 2).count();
     assertTrue(crossed > 0 && crossed < 100, crossed + " crossed");
@@ -840,19 +916,20 @@
     int[] drawn = new int[49];
     int inEight = 0;
     for (int position = 0; position < siblings; position++) {
-      Bench bench =
-          new Bench(Sites.plain().tier(1).siblings(siblings).position(position).build(), 1);
-      Sites.Server[] list = new Sites.Server[48];
+      PolicyHarness bench =
+          new PolicyHarness(
+              TestSettings.plain().tier(1).siblings(siblings).position(position).build(), 1);
+      TestSettings.EndpointBuilder[] list = new TestSettings.EndpointBuilder[48];
       for (int i = 0; i < list.length; i++) {
-        list[i] = Sites.server(i + 1).kind(i % 2);
+        list[i] = TestSettings.server(i + 1).kind(i % 2);
       }
-      bench.list(Change.CACHED, list);
+      bench.list(EndpointUpdateType.CACHED, list);
       int[] own = new int[49];
       for (int i = 0; i < 100; i++) {
         bench.request(i, 0);
         own[(int) bench.lastSend().upstream()]++;
         drawn[(int) bench.lastSend().upstream()]++;
-        bench.finishAfter(bench.lastSend(), Result.OK, 200);
+        bench.finishAfter(bench.lastSend(), AttemptOutcome.OK, 200);
         bench.advance(1_000);
       }
       inEight += Arrays.stream(own).sorted().skip(41).sum();
@@ -866,17 +943,17 @@
 
   @Test
   void whereServersAreKnownTheSubsetHardlyCounts() {
-    Bench bench = new Bench(Sites.plain().tier(1).build(), 1);
-    Sites.Server[] list = new Sites.Server[48];
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().tier(1).build(), 1);
+    TestSettings.EndpointBuilder[] list = new TestSettings.EndpointBuilder[48];
     for (int i = 0; i < list.length; i++) {
-      list[i] = Sites.server(i + 1);
+      list[i] = TestSettings.server(i + 1);
     }
-    bench.list(Change.CACHED, list);
+    bench.list(EndpointUpdateType.CACHED, list);
     int[] drawn = new int[49];
     for (int i = 0; i < 8_000; i++) {
       bench.request(i, 0);
       drawn[(int) bench.lastSend().upstream()] += i < 4_000 ? 0 : 1;
-      bench.finishAfter(bench.lastSend(), Result.OK, 200);
+      bench.finishAfter(bench.lastSend(), AttemptOutcome.OK, 200);
     }
     int inEight = Arrays.stream(drawn).sorted().skip(41).sum();
     assertTrue(inEight < 1_200, inEight + " of 4000 in the eight most used");
@@ -884,12 +961,12 @@
 
   @Test
   void aSubsetWhoseServersFailIsLeft() {
-    Bench bench = new Bench(Sites.plain().tier(1).build(), 1);
-    Sites.Server[] list = new Sites.Server[48];
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().tier(1).build(), 1);
+    TestSettings.EndpointBuilder[] list = new TestSettings.EndpointBuilder[48];
     for (int i = 0; i < list.length; i++) {
-      list[i] = Sites.server(i + 1);
+      list[i] = TestSettings.server(i + 1);
     }
-    bench.list(Change.CACHED, list);
+    bench.list(EndpointUpdateType.CACHED, list);
     Set<Long> failing = new HashSet<>();
     int served = 0;
     for (int i = 0; i < 400; i++) {
@@ -900,7 +977,7 @@
       while (bench.isOpen(i)) {
         boolean fails = failing.contains(bench.lastSend().upstream());
         served += fails || i < 200 ? 0 : 1;
-        bench.finishAfter(bench.lastSend(), fails ? Result.ERROR : Result.OK, 200);
+        bench.finishAfter(bench.lastSend(), fails ? AttemptOutcome.ERROR : AttemptOutcome.OK, 200);
       }
       bench.advance(100);
     }
@@ -909,36 +986,46 @@
 
   @Test
   void workStopsAtTheAimWhereALateAnswerIsWorthNothing() {
-    Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1));
+    PolicyHarness bench =
+        new PolicyHarness(
+            TestSettings.plain().repeat(Idempotency.AT_MOST_ONCE).lateWorth(0).build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1));
     bench.request(1, 0);
-    assertEquals(Sites.AIM, bench.lastSend().timeout());
+    assertEquals(TestSettings.AIM, bench.lastSend().timeout());
   }
 
   @Test
   void aStartedStreamIsLeftAloneAndItsCopiesAreNot() {
-    Bench bench = new Bench(Sites.plain().streamed(true).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().streamed(true).build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1));
     bench.request(1, 0);
     bench.streamStarted(bench.lastSend());
     bench.advance(10_000);
-    bench.finish(bench.lastSend(), Result.OK);
+    bench.finish(bench.lastSend(), AttemptOutcome.OK);
     assertEquals(1, bench.sends.size());
     assertTrue(bench.cancelled.isEmpty() && bench.failed.isEmpty() && bench.refused.isEmpty());
   }
 
   @Test
   void aServerThatFailsOneClassLosesThatClassAndKeepsTheOther() {
-    Bench bench = new Bench(Sites.plain().tier(1).build(), 3);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3), Sites.server(4));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().tier(1).build(), 3);
+    bench.list(
+        EndpointUpdateType.CACHED,
+        TestSettings.server(1),
+        TestSettings.server(2),
+        TestSettings.server(3),
+        TestSettings.server(4));
     int[] toFailing = new int[2];
     for (int i = 0; i < 2_000; i++) {
       bench.request(i, i % 2);
       bench.advance(20);
       while (bench.isOpen(i)) {
-        Bench.Sent sent = bench.lastSend();
+        PolicyHarness.Sent sent = bench.lastSend();
         toFailing[i % 2] += sent.upstream() == 1 ? 1 : 0;
-        bench.finishAfter(sent, sent.upstream() == 1 && i % 2 == 0 ? Result.ERROR : Result.OK, 100);
+        bench.finishAfter(
+            sent,
+            sent.upstream() == 1 && i % 2 == 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK,
+            100);
       }
     }
     // A quarter would be 250 of each.
@@ -948,18 +1035,19 @@
 
   @Test
   void aMachineTypeThatFailsIsAvoidedAlsoAtServersNotYetTried() {
-    Bench bench = new Bench(Sites.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).build(), 3);
-    Sites.Server[] list = new Sites.Server[80];
+    PolicyHarness bench =
+        new PolicyHarness(TestSettings.plain().tier(1).repeat(Idempotency.AT_MOST_ONCE).build(), 3);
+    TestSettings.EndpointBuilder[] list = new TestSettings.EndpointBuilder[80];
     for (int i = 0; i < list.length; i++) {
-      list[i] = Sites.server(i + 1).kind(i % 2);
+      list[i] = TestSettings.server(i + 1).kind(i % 2);
     }
-    bench.list(Change.CACHED, list);
+    bench.list(EndpointUpdateType.CACHED, list);
     int toFailing = 0;
     for (int i = 0; i < 60; i++) {
       bench.request(i, 0);
       boolean failing = bench.lastSend().upstream() % 2 == 0;
       toFailing += failing && i >= 20 ? 1 : 0;
-      bench.finishAfter(bench.lastSend(), failing ? Result.ERROR : Result.OK, 100);
+      bench.finishAfter(bench.lastSend(), failing ? AttemptOutcome.ERROR : AttemptOutcome.OK, 100);
       // So rarely that no server's own record lasts until it is met again.
       bench.advance(20_000);
     }
@@ -971,29 +1059,30 @@
 
   @Test
   void requestsOfOneKeyTakeTurnsInOrderOfArrivalAndOthersAreFree() {
-    Bench bench = new Bench(Sites.plain().inOrder(true).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().inOrder(true).build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     bench.keyed(1, 0, 7);
     bench.keyed(2, 1, 7);
     bench.keyed(3, 0, 8);
     bench.keyed(4, 0, 0);
     bench.keyed(5, 0, 0);
-    assertEquals(List.of(1L, 3L, 4L, 5L), bench.sends.stream().map(Bench.Sent::request).toList());
+    assertEquals(
+        List.of(1L, 3L, 4L, 5L), bench.sends.stream().map(PolicyHarness.Sent::request).toList());
     bench.advance(50);
-    bench.finish(bench.sends.get(0), Result.OK);
+    bench.finish(bench.sends.get(0), AttemptOutcome.OK);
     assertEquals(2, bench.lastSend().request());
   }
 
   @Test
   void aKeyRestsAfterAnAttemptThatMayStillRunAlsoWhenItsClientHasLeft() {
-    Bench bench = new Bench(Sites.plain().inOrder(true).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().inOrder(true).build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     bench.keyed(1, 0, 7);
     bench.keyed(2, 0, 7);
     bench.clientGone(1);
     bench.advance(100);
     assertEquals(1, bench.sends.size(), "an attempt of the first is still out");
-    bench.finish(bench.lastSend(), Result.CANCELLED);
+    bench.finish(bench.lastSend(), AttemptOutcome.CANCELLED);
     bench.advance(99);
     assertEquals(1, bench.sends.size(), "the key rests");
     bench.advance(2);
@@ -1002,19 +1091,20 @@
 
   @Test
   void theRequestWhoseTurnItIsMayBeSentAgain() {
-    Bench bench = new Bench(Sites.plain().inOrder(true).tier(1).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().inOrder(true).tier(1).build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     bench.keyed(1, 0, 7);
     bench.keyed(2, 0, 7);
-    bench.finish(bench.lastSend(), Result.RESET);
+    bench.finish(bench.lastSend(), AttemptOutcome.RESET);
     assertEquals(1, bench.lastSend().request());
     assertEquals(2, bench.sends.size());
   }
 
   @Test
   void aRequestWhoseTurnCannotComeInTimeIsRefusedOnArrival() {
-    Bench bench = new Bench(Sites.plain().inOrder(true).lateWorth(0).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench =
+        new PolicyHarness(TestSettings.plain().inOrder(true).lateWorth(0).build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     for (int i = 1; i <= 20; i++) {
       bench.keyed(i, 0, 7);
     }
@@ -1026,8 +1116,10 @@
 
   @Test
   void aWaitingRequestIsAnsweredInTime() {
-    Bench bench = new Bench(Sites.plain().inOrder(true).repeat(Repeat.AT_MOST_ONCE).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+    PolicyHarness bench =
+        new PolicyHarness(
+            TestSettings.plain().inOrder(true).repeat(Idempotency.AT_MOST_ONCE).build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2));
     bench.keyed(1, 0, 7);
     bench.keyed(2, 0, 7);
     bench.advance(2_000);
@@ -1039,17 +1131,18 @@
 
   @Test
   void aBoundClassGoesOnlyWhereItMayAlsoWhenItsServersFail() {
-    Bench bench = new Bench(Sites.plain().onlyZones(1).onlyKinds(1).tier(1).build(), 1);
+    PolicyHarness bench =
+        new PolicyHarness(TestSettings.plain().onlyZones(1).onlyKinds(1).tier(1).build(), 1);
     bench.list(
-        Change.CACHED,
-        Sites.server(1).zone(1),
-        Sites.server(2).kind(1),
-        Sites.server(3).zone(1).kind(1));
+        EndpointUpdateType.CACHED,
+        TestSettings.server(1).zone(1),
+        TestSettings.server(2).kind(1),
+        TestSettings.server(3).zone(1).kind(1));
     for (int i = 0; i < 200; i++) {
       bench.request(i, 0);
       while (bench.isOpen(i)) {
         assertEquals(3, bench.lastSend().upstream());
-        bench.finish(bench.lastSend(), i % 2 == 0 ? Result.ERROR : Result.OK);
+        bench.finish(bench.lastSend(), i % 2 == 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK);
       }
     }
   }
@@ -1057,13 +1150,13 @@
   @Test
   void aBoundClassWithoutAServerIsHeldAndAnOpenOneIsNot() {
     for (Integer[] kinds : new Integer[][] {{1}, {}}) {
-      Bench bench = new Bench(Sites.plain().onlyKinds(kinds).build(), 1);
-      bench.list(Change.CACHED, Sites.server(1));
+      PolicyHarness bench = new PolicyHarness(TestSettings.plain().onlyKinds(kinds).build(), 1);
+      bench.list(EndpointUpdateType.CACHED, TestSettings.server(1));
       bench.request(1, 0);
       bench.request(2, 1);
       assertEquals(2, bench.lastSend().request());
       assertTrue(bench.isOpen(1));
-      bench.list(Change.DELTA, Sites.server(2).kind(1));
+      bench.list(EndpointUpdateType.DELTA, TestSettings.server(2).kind(1));
       bench.advance(100);
       assertEquals(kinds.length == 1 ? 1 : 2, bench.lastSend().request());
       bench.advance(2_000);
@@ -1073,14 +1166,15 @@
 
   @Test
   void overloadOfABoundClassRefusesNothingOfTheOthers() {
-    Bench bench = new Bench(Sites.plain().onlyKinds(1).lateWorth(0).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2).kind(1));
+    PolicyHarness bench =
+        new PolicyHarness(TestSettings.plain().onlyKinds(1).lateWorth(0).build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2).kind(1));
     int[] refused = new int[2];
     for (int i = 0; i < 400; i++) {
       bench.request(i, i % 2);
       bench.advance(20);
       if (bench.isOpen(i)) {
-        bench.finishAfter(bench.lastSend(), Result.OK, i % 2 == 0 ? 900 : 100);
+        bench.finishAfter(bench.lastSend(), AttemptOutcome.OK, i % 2 == 0 ? 900 : 100);
       } else {
         refused[i % 2]++;
       }
@@ -1091,8 +1185,9 @@
 
   @Test
   void thoseWhoMayGoElsewhereMakeRoomForABoundClass() {
-    Bench bench = new Bench(Sites.plain().onlyKinds(1).lateWorth(0).build(), 1);
-    bench.list(Change.CACHED, Sites.server(1), Sites.server(2).kind(1));
+    PolicyHarness bench =
+        new PolicyHarness(TestSettings.plain().onlyKinds(1).lateWorth(0).build(), 1);
+    bench.list(EndpointUpdateType.CACHED, TestSettings.server(1), TestSettings.server(2).kind(1));
     int[] free = new int[3];
     for (int i = 0; i < 600; i++) {
       bench.request(i, i % 2);
@@ -1100,7 +1195,7 @@
       if (bench.isOpen(i)) {
         free[i % 2 == 1 && i > 200 ? (int) bench.lastSend().upstream() : 0]++;
         // Equally quick for the free class, so that latencies alone would share it evenly.
-        bench.finishAfter(bench.lastSend(), Result.OK, i % 2 == 0 ? 900 : 100);
+        bench.finishAfter(bench.lastSend(), AttemptOutcome.OK, i % 2 == 0 ? 900 : 100);
       }
     }
     assertTrue(free[2] > 0 && free[2] < free[1] / 5, free[1] + " and " + free[2]);
@@ -1111,20 +1206,21 @@
 
   @Test
   void aFleetThatIsColdAsAWholeIsNotLeftIdle() {
-    Bench bench = new Bench(Sites.plain().tier(1).build(), 4);
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().tier(1).build(), 4);
     bench.list(
-        Change.CACHED,
-        Sites.server(1).startedAt(NOW),
-        Sites.server(2).startedAt(NOW),
-        Sites.server(3).startedAt(NOW),
-        Sites.server(4).startedAt(NOW));
+        EndpointUpdateType.CACHED,
+        TestSettings.server(1).startedAt(NOW),
+        TestSettings.server(2).startedAt(NOW),
+        TestSettings.server(3).startedAt(NOW),
+        TestSettings.server(4).startedAt(NOW));
     for (int i = 0; i < 400; i++) {
       bench.request(i, 0);
       int before = bench.sends.size();
       bench.advance(5);
-      for (Bench.Sent s : bench.sends.subList(Math.max(0, before - 1), bench.sends.size())) {
+      for (PolicyHarness.Sent s :
+          bench.sends.subList(Math.max(0, before - 1), bench.sends.size())) {
         if (bench.isOpen(s.request())) {
-          bench.finish(s, Result.OK);
+          bench.finish(s, AttemptOutcome.OK);
         }
       }
     }
@@ -1136,8 +1232,11 @@
 
   @Test
   void oneLookForAServerStandsForAllOfAClassThatAreHeld() {
-    Bench bench = new Bench(Sites.plain().tier(1).build(), 4);
-    bench.list(Change.CACHED, Sites.server(1).startedAt(NOW), Sites.server(2).startedAt(NOW));
+    PolicyHarness bench = new PolicyHarness(TestSettings.plain().tier(1).build(), 4);
+    bench.list(
+        EndpointUpdateType.CACHED,
+        TestSettings.server(1).startedAt(NOW),
+        TestSettings.server(2).startedAt(NOW));
     int requests = 200;
     double apart = 0.3;
     double deadline = bench.now + 10_000;
--- a/src/test/java/cranedeal/OverloadTest.java
+++ b/src/test/java/loadbalancer/policy/LoadSheddingTest.java
@@ -1,10 +1,7 @@
-package cranedeal;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cranedeal.LoadBalancer.Change;
-import cranedeal.LoadBalancer.Repeat;
-import cranedeal.LoadBalancer.Result;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -13,13 +10,16 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.stream.Stream;
+import loadbalancer.model.AttemptOutcome;
+import loadbalancer.model.EndpointUpdateType;
+import loadbalancer.model.Idempotency;
 import org.junit.jupiter.api.Test;
 
 /**
  * What is refused where calls are late, with and without a crowd to blame: whole runs in virtual
  * time, of several copies in front of a few servers.
  */
-class OverloadTest {
+class LoadSheddingTest {
 
   private static final double LENGTH = 40_000;
 
@@ -37,12 +37,12 @@
 
   /** An attempt at a server, and when it ends or how much work of it is left. */
   private static final class Work {
-    final Bench copy;
-    final Bench.Sent sent;
+    final PolicyHarness copy;
+    final PolicyHarness.Sent sent;
     double left;
     boolean givenUp;
 
-    Work(Bench copy, Bench.Sent sent, double left) {
+    Work(PolicyHarness copy, PolicyHarness.Sent sent, double left) {
       this.copy = copy;
       this.sent = sent;
       this.left = left;
@@ -57,20 +57,23 @@
     return -mean * Math.log(1 - random.nextDouble());
   }
 
-  private static List<Bench> copies(long seed) {
-    List<Bench> copies = new ArrayList<>();
+  private static List<PolicyHarness> copies(long seed) {
+    List<PolicyHarness> copies = new ArrayList<>();
     for (int i = 0; i < COPIES; i++) {
-      Bench copy =
-          new Bench(
-              Sites.plain()
-                  .repeat(Repeat.AT_MOST_ONCE)
+      PolicyHarness copy =
+          new PolicyHarness(
+              TestSettings.plain()
+                  .repeat(Idempotency.AT_MOST_ONCE)
                   .lateWorth(0)
                   .siblings(COPIES)
                   .position(i)
                   .build(),
               seed + i);
       copy.list(
-          Change.CACHED, Stream.of(1, 2, 3, 4).map(Sites::server).toArray(Sites.Server[]::new));
+          EndpointUpdateType.CACHED,
+          Stream.of(1, 2, 3, 4)
+              .map(TestSettings::server)
+              .toArray(TestSettings.EndpointBuilder[]::new));
       copies.add(copy);
     }
     return copies;
@@ -82,10 +85,10 @@
    */
   private static double servedWithoutACrowd(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    double part = 0.35 * Sites.AIM;
+    double part = 0.35 * TestSettings.AIM;
     int served = 0;
     int asked = 0;
-    for (Bench copy : copies(seed)) {
+    for (PolicyHarness copy : copies(seed)) {
       PriorityQueue<Work> out = new PriorityQueue<>(Comparator.comparingDouble(work -> work.left));
       int seen = 0;
       double next = copy.now;
@@ -93,14 +96,14 @@
         while (!out.isEmpty() && out.peek().left <= copy.now) {
           Work work = out.poll();
           boolean inTime = work.left <= work.sent.at() + work.sent.timeout();
-          copy.finish(work.sent, inTime ? Result.OK : Result.TIMEOUT);
+          copy.finish(work.sent, inTime ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT);
           served += inTime ? 1 : 0;
         }
         for (; next <= copy.now; next += exponential(random, 100)) {
           copy.request(asked++, 0);
         }
         for (; seen < copy.sends.size(); seen++) {
-          Bench.Sent sent = copy.sends.get(seen);
+          PolicyHarness.Sent sent = copy.sends.get(seen);
           double takes = part + exponential(random, part);
           out.add(new Work(copy, sent, sent.at() + Math.min(takes, sent.timeout() + STEP)));
         }
@@ -115,7 +118,7 @@
    */
   private static double servedInAJam(long seed, double load) {
     SplittableRandom random = new SplittableRandom(seed);
-    List<Bench> copies = copies(seed);
+    List<PolicyHarness> copies = copies(seed);
     List<ArrayDeque<Work>> queues = Stream.generate(ArrayDeque<Work>::new).limit(SERVERS).toList();
     int[] seen = new int[COPIES];
     double[] next = new double[COPIES];
@@ -125,17 +128,17 @@
     int served = 0;
     for (double end = copies.get(0).now + LENGTH; copies.get(0).now < end; ) {
       for (int i = 0; i < COPIES; i++) {
-        Bench copy = copies.get(i);
+        PolicyHarness copy = copies.get(i);
         for (; next[i] <= copy.now; next[i] += exponential(random, apart)) {
           copy.request(asked++, 0);
         }
         for (; seen[i] < copy.sends.size(); seen[i]++) {
-          Bench.Sent sent = copy.sends.get(seen[i]);
+          PolicyHarness.Sent sent = copy.sends.get(seen[i]);
           ArrayDeque<Work> queue = queues.get((int) sent.upstream() - 1);
           if (queue.size() < QUEUE) {
             queue.add(new Work(copy, sent, exponential(random, WORK)));
           } else {
-            copy.finish(sent, Result.FULL);
+            copy.finish(sent, AttemptOutcome.FULL);
           }
         }
       }
@@ -143,7 +146,7 @@
         for (Work work : queue) {
           if (!work.givenUp && work.isOverdue()) {
             work.givenUp = true;
-            work.copy.finish(work.sent, Result.TIMEOUT);
+            work.copy.finish(work.sent, AttemptOutcome.TIMEOUT);
           }
         }
         served += work(queue);
@@ -165,7 +168,7 @@
       if (work.left <= 0) {
         queue.poll();
         if (!work.givenUp) {
-          work.copy.finish(work.sent, Result.OK);
+          work.copy.finish(work.sent, AttemptOutcome.OK);
           served++;
         }
       }
--- a/src/test/java/cranedeal/Bench.java
+++ b/src/test/java/loadbalancer/policy/PolicyHarness.java
@@ -1,10 +1,5 @@
-package cranedeal;
+package loadbalancer.policy;
 
-import cranedeal.LoadBalancer.Change;
-import cranedeal.LoadBalancer.Outcome;
-import cranedeal.LoadBalancer.Request;
-import cranedeal.LoadBalancer.Result;
-import cranedeal.LoadBalancer.Settings;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -14,9 +9,14 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
+import loadbalancer.model.AttemptOutcome;
+import loadbalancer.model.AttemptResult;
+import loadbalancer.model.ClientRequest;
+import loadbalancer.model.EndpointUpdateType;
+import loadbalancer.model.PolicySettings;
 
 /** One instance in virtual time: hands it events, keeps its actions, rings its timers. */
-final class Bench implements LoadBalancer.Actions {
+final class PolicyHarness implements PolicyActions {
 
   record Sent(long request, int attempt, long upstream, double timeout, double at) {}
 
@@ -36,26 +36,27 @@
   int watches;
   double now = 100_000;
 
-  private final Settings settings;
-  private final LoadBalancer balancer;
+  private final PolicySettings settings;
+  private final LoadBalancingPolicy balancer;
   private final Map<Long, Integer> attempts = new HashMap<>();
   private final PriorityQueue<Alarm> alarms =
       new PriorityQueue<>(Comparator.comparingDouble(Alarm::at).thenComparingLong(Alarm::order));
   private long alarmsSet;
 
-  Bench(Settings settings, long seed) {
+  PolicyHarness(PolicySettings settings, long seed) {
     this.settings = settings;
-    balancer = new LatencyWeightedBalancer(this);
+    balancer = new LatencyWeightedPolicy(this);
     balancer.start(now, settings, seed);
   }
 
-  void list(Change change, Sites.Server... servers) {
-    balancer.upstreamsChanged(
-        now, change, Arrays.stream(servers).map(Sites.Server::listed).toList());
+  void list(EndpointUpdateType change, TestSettings.EndpointBuilder... servers) {
+    balancer.endpointsChanged(
+        now, change, Arrays.stream(servers).map(TestSettings.EndpointBuilder::listed).toList());
   }
 
   void request(long id, int serviceClass) {
-    request(id, serviceClass, now + settings.classes().get(serviceClass).deadline(), 0);
+    request(
+        id, serviceClass, now + settings.requestClasses().get(serviceClass).deadlineMillis(), 0);
   }
 
   void request(long id, int serviceClass, double deadline, double cost) {
@@ -64,20 +65,21 @@
 
   void request(long id, int serviceClass, double deadline, double cost, long key) {
     open.add(id);
-    balancer.request(now, new Request(id, serviceClass, 0, key, deadline, cost, false, false));
+    balancer.requestArrived(
+        now, new ClientRequest(id, serviceClass, 0, key, deadline, cost, false, false));
   }
 
   /** A request that its client marked as a repeat. */
   void retry(long id, int serviceClass) {
     open.add(id);
-    balancer.request(
+    balancer.requestArrived(
         now,
-        new Request(
+        new ClientRequest(
             id,
             serviceClass,
             0,
             id,
-            now + settings.classes().get(serviceClass).deadline(),
+            now + settings.requestClasses().get(serviceClass).deadlineMillis(),
             0,
             true,
             false));
@@ -85,36 +87,41 @@
 
   /** A request with a key and its class's whole deadline. */
   void keyed(long id, int serviceClass, long key) {
-    request(id, serviceClass, now + settings.classes().get(serviceClass).deadline(), 0, key);
+    request(
+        id,
+        serviceClass,
+        now + settings.requestClasses().get(serviceClass).deadlineMillis(),
+        0,
+        key);
   }
 
-  void finish(Sent sent, Result result) {
+  void finish(Sent sent, AttemptOutcome result) {
     finishAfter(sent, result, now - sent.at());
   }
 
   /** An outcome whose host has not yet heard that the request is over. */
-  void finishUnclosed(Sent sent, Result result) {
+  void finishUnclosed(Sent sent, AttemptOutcome result) {
     balancer.attemptFinished(
         now,
-        new Outcome(
+        new AttemptResult(
             sent.request(), sent.attempt(), sent.upstream(), result, false, now - sent.at(), null));
   }
 
   void timer(long token) {
-    balancer.timer(now, token);
+    balancer.timerExpired(now, token);
   }
 
-  void finishAfter(Sent sent, Result result, double elapsed) {
+  void finishAfter(Sent sent, AttemptOutcome result, double elapsed) {
     if (!finished.add(sent)) {
       throw new AssertionError(
           "a second outcome for " + sent + ": no attempt and no answer followed");
     }
-    if (result == Result.OK) {
+    if (result == AttemptOutcome.OK) {
       open.remove(sent.request());
     }
     balancer.attemptFinished(
         now,
-        new Outcome(
+        new AttemptResult(
             sent.request(),
             sent.attempt(),
             sent.upstream(),
@@ -125,12 +132,12 @@
   }
 
   void streamStarted(Sent sent) {
-    balancer.streamStarted(now, sent.request(), sent.attempt(), now - sent.at());
+    balancer.responseStarted(now, sent.request(), sent.attempt(), now - sent.at());
   }
 
   void clientGone(long id) {
     open.remove(id);
-    balancer.clientGone(now, id);
+    balancer.clientDisconnected(now, id);
   }
 
   /** Moves the clock on, ringing what falls due on the way. */
@@ -139,7 +146,7 @@
     while (!alarms.isEmpty() && alarms.peek().at() <= until) {
       Alarm alarm = alarms.poll();
       now = Math.max(now, alarm.at());
-      balancer.timer(now, alarm.token());
+      balancer.timerExpired(now, alarm.token());
     }
     now = until;
   }
@@ -158,26 +165,26 @@
   }
 
   @Override
-  public void send(long requestId, long upstream, double timeout) {
+  public void sendAttempt(long requestId, long upstream, double timeout) {
     int attempt = attempts.merge(requestId, 1, Integer::sum) - 1;
     sends.add(new Sent(requestId, attempt, upstream, timeout, now));
   }
 
   @Override
-  public void refuse(long requestId, double retryAfter) {
+  public void reject(long requestId, double retryAfter) {
     open.remove(requestId);
     refused.add(requestId);
     this.retryAfter = retryAfter;
   }
 
   @Override
-  public void fail(long requestId) {
+  public void failRequest(long requestId) {
     open.remove(requestId);
     failed.add(requestId);
   }
 
   @Override
-  public void cancel(long requestId, int attempt) {
+  public void cancelAttempt(long requestId, int attempt) {
     for (Sent sent : sends) {
       if (sent.request() == requestId && sent.attempt() == attempt) {
         cancelled.add(sent);
@@ -186,32 +193,32 @@
   }
 
   @Override
-  public void setTimer(long token, double at) {
+  public void scheduleTimer(long token, double at) {
     alarms.add(new Alarm(at, alarmsSet++, token));
   }
 
   @Override
-  public void closeIdle(long upstream) {
+  public void closeIdleConnections(long upstream) {
     closed++;
   }
 
   @Override
-  public void watch(boolean on) {
+  public void watchEndpoints(boolean on) {
     watches++;
   }
 
   @Override
-  public void probe(long upstream) {
+  public void checkHealth(long upstream) {
     throw new AssertionError("no site of these tests allows probes");
   }
 
   @Override
-  public void fetch() {
+  public void fetchEndpoints() {
     throw new AssertionError("nothing needs a fetch");
   }
 
   @Override
-  public void tell(int peer, byte[] payload) {
+  public void sendToPeer(int peer, byte[] payload) {
     throw new AssertionError("no site of these tests has peers");
   }
 
--- a/src/test/java/cranedeal/RandomEventsTest.java
+++ b/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -1,14 +1,9 @@
-package cranedeal;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cranedeal.LoadBalancer.Change;
-import cranedeal.LoadBalancer.Group;
-import cranedeal.LoadBalancer.Repeat;
-import cranedeal.LoadBalancer.Result;
-import cranedeal.LoadBalancer.State;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -16,6 +11,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
+import loadbalancer.model.AttemptOutcome;
+import loadbalancer.model.DeduplicationScope;
+import loadbalancer.model.EndpointState;
+import loadbalancer.model.EndpointUpdateType;
+import loadbalancer.model.Idempotency;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -55,31 +55,32 @@
   private static final class Driver {
     private static final int SERVERS = 6;
     private static final double SETTLE = 100;
-    private static final Result[] UNSERVED = {
-      Result.ERROR,
-      Result.FULL,
-      Result.TIMEOUT,
-      Result.CONNECT_FAILED,
-      Result.RESET,
-      Result.NOT_SENT
+    private static final AttemptOutcome[] UNSERVED = {
+      AttemptOutcome.ERROR,
+      AttemptOutcome.FULL,
+      AttemptOutcome.TIMEOUT,
+      AttemptOutcome.CONNECT_FAILED,
+      AttemptOutcome.RESET,
+      AttemptOutcome.NOT_SENT
     };
 
     private final SplittableRandom random;
-    private final Repeat repeat;
-    private final Group group;
+    private final Idempotency repeat;
+    private final DeduplicationScope group;
     private final boolean parallel;
     private final boolean streamed;
     private final boolean inOrder;
     private final boolean placed;
-    private final Bench bench;
-    private final Sites.Server[] servers = new Sites.Server[SERVERS];
-    private final State[] states = new State[SERVERS];
+    private final PolicyHarness bench;
+    private final TestSettings.EndpointBuilder[] servers =
+        new TestSettings.EndpointBuilder[SERVERS];
+    private final EndpointState[] states = new EndpointState[SERVERS];
 
     /** Sends whose outcome has not come. */
-    private final List<Bench.Sent> out = new ArrayList<>();
+    private final List<PolicyHarness.Sent> out = new ArrayList<>();
 
-    private final Map<Long, List<Bench.Sent>> byRequest = new HashMap<>();
-    private final Set<Bench.Sent> provenUnrun = new HashSet<>();
+    private final Map<Long, List<PolicyHarness.Sent>> byRequest = new HashMap<>();
+    private final Set<PolicyHarness.Sent> provenUnrun = new HashSet<>();
     private final Map<Long, Double> deadlines = new HashMap<>();
     private final Set<Long> streaming = new HashSet<>();
     private final Set<Long> servedOrGone = new HashSet<>();
@@ -100,14 +101,14 @@
 
     Driver(long seed) {
       random = new SplittableRandom(seed);
-      repeat = Repeat.values()[random.nextInt(3)];
-      group = Group.values()[random.nextInt(3)];
+      repeat = Idempotency.values()[random.nextInt(3)];
+      group = DeduplicationScope.values()[random.nextInt(3)];
       parallel = random.nextBoolean();
       streamed = random.nextInt(4) == 0;
       inOrder = !streamed && random.nextBoolean();
       placed = random.nextInt(3) == 0;
-      Sites.Builder site =
-          Sites.plain()
+      TestSettings.Builder site =
+          TestSettings.plain()
               .repeat(repeat)
               .group(group)
               .memory(700)
@@ -116,12 +117,12 @@
               .inOrder(inOrder)
               .siblings(3)
               .lateWorth(random.nextBoolean() ? 0.3 : 0);
-      bench = new Bench((placed ? site.onlyZones(1).onlyKinds(0) : site).build(), seed);
+      bench = new PolicyHarness((placed ? site.onlyZones(1).onlyKinds(0) : site).build(), seed);
       for (int i = 0; i < SERVERS; i++) {
-        servers[i] = Sites.server(i + 1).zone(i % 2).cell(i / 2).kind(i / 4);
-        states[i] = State.READY;
+        servers[i] = TestSettings.server(i + 1).zone(i % 2).cell(i / 2).kind(i / 4);
+        states[i] = EndpointState.READY;
       }
-      bench.list(Change.CACHED, servers);
+      bench.list(EndpointUpdateType.CACHED, servers);
     }
 
     private void step() {
@@ -172,7 +173,7 @@
     private void earn(int serviceClass) {
       long usable = 0;
       for (int i = 0; i < SERVERS; i++) {
-        usable += states[i] == State.READY && open(serviceClass, i) ? 1 : 0;
+        usable += states[i] == EndpointState.READY && open(serviceClass, i) ? 1 : 0;
       }
       for (int i = 0; i < SERVERS; i++) {
         if (usable > 0 && open(serviceClass, i)) {
@@ -186,22 +187,25 @@
       if (out.isEmpty()) {
         return;
       }
-      Bench.Sent sent = out.remove(random.nextInt(out.size()));
-      Result result = random.nextInt(3) > 0 ? Result.OK : UNSERVED[random.nextInt(UNSERVED.length)];
+      PolicyHarness.Sent sent = out.remove(random.nextInt(out.size()));
+      AttemptOutcome result =
+          random.nextInt(3) > 0 ? AttemptOutcome.OK : UNSERVED[random.nextInt(UNSERVED.length)];
       if (!bench.isOpen(sent.request())) {
-        result = random.nextBoolean() ? Result.CANCELLED : result;
+        result = random.nextBoolean() ? AttemptOutcome.CANCELLED : result;
       }
-      if (result == Result.OK) {
+      if (result == AttemptOutcome.OK) {
         servedOrGone.add(sent.request());
       }
       finish(sent, result);
     }
 
-    private void finish(Bench.Sent sent, Result result) {
+    private void finish(PolicyHarness.Sent sent, AttemptOutcome result) {
       if (result.neverRan()) {
         provenUnrun.add(sent);
       }
-      if (result == Result.TIMEOUT || result == Result.RESET || result == Result.CANCELLED) {
+      if (result == AttemptOutcome.TIMEOUT
+          || result == AttemptOutcome.RESET
+          || result == AttemptOutcome.CANCELLED) {
         rested.put(sent.request(), bench.now + SETTLE);
       }
       bench.finish(sent, result);
@@ -209,31 +213,31 @@
 
     private void changeList() {
       int i = random.nextInt(SERVERS);
-      states[i] = State.values()[random.nextInt(3)];
+      states[i] = EndpointState.values()[random.nextInt(3)];
       if (random.nextBoolean()) {
         servers[i].startedAt(bench.now);
         started[i] = bench.now;
         listedAnew(i);
       }
-      if (states[i] == State.REMOVED) {
+      if (states[i] == EndpointState.REMOVED) {
         listedAnew(i);
       }
       if (random.nextInt(4) == 0) {
-        List<Sites.Server> all = new ArrayList<>();
+        List<TestSettings.EndpointBuilder> all = new ArrayList<>();
         for (int k = 0; k < SERVERS; k++) {
-          if (states[k] != State.REMOVED) {
+          if (states[k] != EndpointState.REMOVED) {
             all.add(servers[k].state(states[k]));
           }
         }
-        bench.list(Change.FULL, all.toArray(Sites.Server[]::new));
+        bench.list(EndpointUpdateType.FULL, all.toArray(TestSettings.EndpointBuilder[]::new));
       } else if (random.nextInt(5) == 0) {
         // The change is not told yet: the state stays as it was for the books.
-        bench.list(Change.FAILED);
-        states[i] = State.REMOVED;
+        bench.list(EndpointUpdateType.FAILED);
+        states[i] = EndpointState.REMOVED;
         listedAnew(i);
-        bench.list(Change.DELTA, servers[i].state(State.REMOVED));
+        bench.list(EndpointUpdateType.DELTA, servers[i].state(EndpointState.REMOVED));
       } else {
-        bench.list(Change.DELTA, servers[i].state(states[i]));
+        bench.list(EndpointUpdateType.DELTA, servers[i].state(states[i]));
       }
     }
 
@@ -243,7 +247,7 @@
     }
 
     /** Rule 4: one call at once and then what is earned. */
-    private void checkColdBudget(Bench.Sent sent, String where) {
+    private void checkColdBudget(PolicyHarness.Sent sent, String where) {
       int server = (int) sent.upstream() - 1;
       if (started[server] != 0 && sent.at() - started[server] < 10_000) {
         sentTo[server]++;
@@ -263,7 +267,7 @@
 
     private void stream() {
       if (streamed && !out.isEmpty()) {
-        Bench.Sent sent = out.get(random.nextInt(out.size()));
+        PolicyHarness.Sent sent = out.get(random.nextInt(out.size()));
         if (bench.isOpen(sent.request()) && streaming.add(sent.request())) {
           bench.streamStarted(sent);
         }
@@ -276,23 +280,23 @@
       while (bench.now < until) {
         bench.advance(Math.min(5, until - bench.now));
         check("on the way");
-        for (Bench.Sent sent : List.copyOf(out)) {
+        for (PolicyHarness.Sent sent : List.copyOf(out)) {
           boolean due = !streaming.contains(sent.request()) && expiry(sent) <= bench.now;
           if (due && out.remove(sent)) {
-            finish(sent, Result.TIMEOUT);
+            finish(sent, AttemptOutcome.TIMEOUT);
             check("time-out");
           }
         }
       }
     }
 
-    private double expiry(Bench.Sent sent) {
+    private double expiry(PolicyHarness.Sent sent) {
       return Math.min(sent.at() + Math.max(0, sent.timeout()), deadlines.get(sent.request()));
     }
 
     private void check(String where) {
       for (; seen < bench.sends.size(); seen++) {
-        Bench.Sent sent = bench.sends.get(seen);
+        PolicyHarness.Sent sent = bench.sends.get(seen);
         checkSend(sent, where + ": " + sent);
         checkColdBudget(sent, where + ": " + sent);
         byRequest.computeIfAbsent(sent.request(), k -> new ArrayList<>()).add(sent);
@@ -304,8 +308,8 @@
             byRequest.getOrDefault(id, List.of()).stream().anyMatch(s -> !provenUnrun.contains(s));
         assertTrue(
             !maybeRun
-                || repeat == Repeat.IDEMPOTENT
-                || repeat == Repeat.DEDUPLICATED && group == Group.ALL,
+                || repeat == Idempotency.IDEMPOTENT
+                || repeat == Idempotency.DEDUPLICATED && group == DeduplicationScope.ALL,
             where + ": refused " + id);
       }
       Set<Long> answered = new HashSet<>(servedOrGone);
@@ -322,31 +326,33 @@
       }
     }
 
-    private void checkSend(Bench.Sent sent, String where) {
+    private void checkSend(PolicyHarness.Sent sent, String where) {
       int server = (int) sent.upstream() - 1;
-      assertEquals(State.READY, states[server], where + ": rule 3");
+      assertEquals(EndpointState.READY, states[server], where + ": rule 3");
       assertTrue(open(classOf.get(sent.request()), server), where + ": rule 6");
       checkOrder(sent, where);
       assertFalse(servedOrGone.contains(sent.request()), where + ": sent after the end");
-      List<Bench.Sent> earlier = byRequest.getOrDefault(sent.request(), List.of());
+      List<PolicyHarness.Sent> earlier = byRequest.getOrDefault(sent.request(), List.of());
       assertTrue(earlier.size() < 4, where + ": too many attempts");
       assertTrue(parallel || earlier.stream().noneMatch(out::contains), where + ": two at once");
-      for (Bench.Sent before : earlier) {
-        if (provenUnrun.contains(before) || repeat == Repeat.IDEMPOTENT) {
+      for (PolicyHarness.Sent before : earlier) {
+        if (provenUnrun.contains(before) || repeat == Idempotency.IDEMPOTENT) {
           continue;
         }
-        assertTrue(repeat == Repeat.DEDUPLICATED, where + ": unsafe repeated");
+        assertTrue(repeat == Idempotency.DEDUPLICATED, where + ": unsafe repeated");
         assertTrue(sent.at() <= before.at() + 700, where + ": outside the window");
         int was = (int) before.upstream() - 1;
         assertTrue(
-            group == Group.ALL
-                || (group == Group.ZONE ? was % 2 == server % 2 : was / 2 == server / 2),
+            group == DeduplicationScope.ALL
+                || (group == DeduplicationScope.ZONE
+                    ? was % 2 == server % 2
+                    : was / 2 == server / 2),
             where + ": outside the group");
       }
     }
 
     /** Rule 5: ids rise in order of arrival; key 0 is no key. */
-    private void checkOrder(Bench.Sent sent, String where) {
+    private void checkOrder(PolicyHarness.Sent sent, String where) {
       long key = keyOf.get(sent.request());
       for (long id = 0; inOrder && key != 0 && id < sent.request(); id++) {
         long before = id;
@@ -365,10 +371,10 @@
     /** At the end every request has had its answer. */
     private void drain(String where) {
       advance(5_000);
-      for (Bench.Sent sent : List.copyOf(out)) {
+      for (PolicyHarness.Sent sent : List.copyOf(out)) {
         out.remove(sent);
         servedOrGone.add(sent.request());
-        bench.finish(sent, Result.OK);
+        bench.finish(sent, AttemptOutcome.OK);
       }
       check(where);
       assertTrue(bench.open.isEmpty(), where + ": unanswered " + bench.open);
--- a/src/test/java/cranedeal/ColdRampTest.java
+++ b/src/test/java/loadbalancer/policy/SlowStartTest.java
@@ -1,16 +1,16 @@
-package cranedeal;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cranedeal.LoadBalancer.Change;
-import cranedeal.LoadBalancer.Result;
-import cranedeal.LoadBalancer.Rules;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
+import loadbalancer.model.AttemptOutcome;
+import loadbalancer.model.EndpointUpdateType;
+import loadbalancer.model.RuleSettings;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -18,7 +18,7 @@
  * servers that have just started may neither be pushed over by the sum of what all send nor be left
  * idle because many instances carry the stream. All in virtual time, with fixed seeds.
  */
-class ColdRampTest {
+class SlowStartTest {
 
   private static final int[] COPIES = {1, 5, 20, 30, 60};
 
@@ -29,7 +29,10 @@
   private static final double SERVICE = 20;
 
   private static final double START = 100_000;
-  private static final Rules RULES = Sites.plain().build().rules();
+  private static final RuleSettings RULES = TestSettings.plain().build().rules();
+
+  /** The window over which an endpoint counts requests against its capacity. */
+  private static final double COLLAPSE_WINDOW_MILLIS = 1_500;
 
   /**
    * What a run varies; unless said, the stream is even and just fits the fleet once all of it is
@@ -110,13 +113,13 @@
     }
   }
 
-  private record Answer(double at, long order, Bench bench, Bench.Sent sent) {}
+  private record Answer(double at, long order, PolicyHarness bench, PolicyHarness.Sent sent) {}
 
   /** One run of a scene: servers work at a rate that their warmth bounds, and queue beyond it. */
   private static final class Fleet {
     private final Scene scene;
     private final SplittableRandom random;
-    private final Bench[] benches;
+    private final PolicyHarness[] benches;
     private final int[] seen;
     private final double[] freeAt;
     private final PriorityQueue<Answer> answers =
@@ -130,25 +133,26 @@
     Fleet(Scene scene, long seed) {
       this.scene = scene;
       random = new SplittableRandom(seed);
-      benches = new Bench[scene.copies];
+      benches = new PolicyHarness[scene.copies];
       seen = new int[scene.copies];
       freeAt = new double[scene.servers];
-      Sites.Server[] list = new Sites.Server[scene.servers];
+      TestSettings.EndpointBuilder[] list = new TestSettings.EndpointBuilder[scene.servers];
       for (int i = 0; i < scene.servers; i++) {
         sends.add(new ArrayList<>());
-        list[i] = Sites.server(seed * scene.servers + i).startedAt(i < scene.cold ? START : 0);
+        list[i] =
+            TestSettings.server(seed * scene.servers + i).startedAt(i < scene.cold ? START : 0);
       }
       for (int i = 0; i < scene.copies; i++) {
         benches[i] =
-            new Bench(
-                Sites.plain()
+            new PolicyHarness(
+                TestSettings.plain()
                     .tier(1)
                     .siblings(scene.copies)
                     .position(i)
                     .connection(scene.connection)
                     .build(),
                 random.nextLong());
-        benches[i].list(Change.CACHED, list);
+        benches[i].list(EndpointUpdateType.CACHED, list);
       }
       play();
     }
@@ -159,7 +163,7 @@
       while (now < START + scene.length) {
         // The burst is the second half of the first window in which a cold server could fall.
         double since = now - START;
-        boolean inBurst = since > RULES.fallAfter() / 2 && since < RULES.fallAfter();
+        boolean inBurst = since > COLLAPSE_WINDOW_MILLIS / 2 && since < COLLAPSE_WINDOW_MILLIS;
         double rate = RATE * scene.servers * scene.load * (inBurst ? scene.burst : 1) / 1_000;
         now += -Math.log(1 - random.nextDouble()) / rate;
         answerUntil(now);
@@ -185,7 +189,7 @@
           boolean fails =
               answer.sent().upstream() % scene.servers >= scene.cold
                   && answer.at() - START > scene.failing;
-          answer.bench().finish(answer.sent(), fails ? Result.ERROR : Result.OK);
+          answer.bench().finish(answer.sent(), fails ? AttemptOutcome.ERROR : AttemptOutcome.OK);
         }
         takeSends(i);
       }
@@ -198,7 +202,7 @@
 
     private void takeSends(int i) {
       for (; seen[i] < benches[i].sends.size(); seen[i]++) {
-        Bench.Sent sent = benches[i].sends.get(seen[i]);
+        PolicyHarness.Sent sent = benches[i].sends.get(seen[i]);
         int server = (int) sent.upstream() % scene.servers;
         sends.get(server).add(sent.at());
         double wait = Math.max(0, freeAt[server] - sent.at());
@@ -215,8 +219,8 @@
 
   /** Requests per ms that a server can do: an even ramp over the warm-up. */
   private static double capacity(Scene scene, int server, double now) {
-    double from = server < scene.cold ? RULES.startCapacity() : 1;
-    double warmth = Math.min(1, from + (1 - from) * (now - START) / RULES.warmUp());
+    double from = server < scene.cold ? RULES.initialCapacity() : 1;
+    double warmth = Math.min(1, from + (1 - from) * (now - START) / RULES.warmUpMillis());
     return warmth * RATE / 1_000;
   }
 
@@ -230,7 +234,7 @@
    * chance.
    */
   private static double allowed(Scene scene, int server, double from) {
-    double n = RULES.fallMultiple() * capacity(scene, server, from) * RULES.fallAfter();
+    double n = RULES.collapseMultiple() * capacity(scene, server, from) * COLLAPSE_WINDOW_MILLIS;
     return n + 2 * Math.sqrt(n) + 2;
   }
 
@@ -244,10 +248,10 @@
       List<Double> sends = fleet.sends.get(server);
       int first = 0;
       for (int last = 0; last < sends.size(); last++) {
-        while (sends.get(first) <= sends.get(last) - RULES.fallAfter()) {
+        while (sends.get(first) <= sends.get(last) - COLLAPSE_WINDOW_MILLIS) {
           first++;
         }
-        double from = Math.max(START, sends.get(last) - RULES.fallAfter());
+        double from = Math.max(START, sends.get(last) - COLLAPSE_WINDOW_MILLIS);
         worst = Math.max(worst, (last - first + 1) / allowed(scene, server, from));
       }
     }
@@ -277,9 +281,9 @@
       for (int cold : new int[] {1, 5, 10}) {
         for (boolean uneven : new boolean[] {false, true}) {
           Scene scene = new Scene().cold(cold).uneven(uneven).load(load);
-          double ofOne = meanSent(scene.copies(1), 0, cold, RULES.fallAfter());
+          double ofOne = meanSent(scene.copies(1), 0, cold, COLLAPSE_WINDOW_MILLIS);
           for (int copies : COPIES) {
-            double sent = meanSent(scene.copies(copies), 0, cold, RULES.fallAfter());
+            double sent = meanSent(scene.copies(copies), 0, cold, COLLAPSE_WINDOW_MILLIS);
             assertTrue(
                 sent > 0.75 * ofOne && sent < 1.25 * ofOne,
                 scene + ": " + sent + " calls to a cold server, " + ofOne + " from one instance");
@@ -294,7 +298,7 @@
     for (double load : new double[] {0.5, 1}) {
       for (int copies : COPIES) {
         Scene scene = new Scene().cold(5).copies(copies).load(load);
-        double ms = RULES.fallAfter();
+        double ms = COLLAPSE_WINDOW_MILLIS;
         double cold = meanSent(scene, 0, 5, ms) / couldDo(scene, 0, ms);
         double warm = meanSent(scene, 5, 10, ms) / couldDo(scene, 5, ms);
         assertTrue(
@@ -309,9 +313,9 @@
     for (double price : new double[] {0, 0.1}) {
       for (int cold : new int[] {1, 20, 40}) {
         Scene scene = new Scene().servers(40).cold(cold).load(0.5).connection(price);
-        double ofOne = meanSent(scene.copies(1), 0, cold, RULES.fallAfter());
+        double ofOne = meanSent(scene.copies(1), 0, cold, COLLAPSE_WINDOW_MILLIS);
         for (int copies : COPIES) {
-          double sent = meanSent(scene.copies(copies), 0, cold, RULES.fallAfter());
+          double sent = meanSent(scene.copies(copies), 0, cold, COLLAPSE_WINDOW_MILLIS);
           assertTrue(
               sent > 0.55 * ofOne && sent < 1.25 * ofOne,
               scene
--- a/src/test/java/cranedeal/Sites.java
+++ b/src/test/java/loadbalancer/policy/TestSettings.java
@@ -1,80 +1,78 @@
-package cranedeal;
-
-import cranedeal.LoadBalancer.Goal;
-import cranedeal.LoadBalancer.Group;
-import cranedeal.LoadBalancer.Limits;
-import cranedeal.LoadBalancer.Prices;
-import cranedeal.LoadBalancer.Repeat;
-import cranedeal.LoadBalancer.Reports;
-import cranedeal.LoadBalancer.Rules;
-import cranedeal.LoadBalancer.ServiceClass;
-import cranedeal.LoadBalancer.Settings;
-import cranedeal.LoadBalancer.State;
-import cranedeal.LoadBalancer.Upstream;
-import cranedeal.LoadBalancer.WeightKind;
+package loadbalancer.policy;
+
 import java.util.List;
+import loadbalancer.model.CostSettings;
+import loadbalancer.model.DeduplicationScope;
+import loadbalancer.model.Endpoint;
+import loadbalancer.model.EndpointState;
+import loadbalancer.model.Idempotency;
+import loadbalancer.model.LimitSettings;
+import loadbalancer.model.LoadReportMode;
+import loadbalancer.model.PolicySettings;
+import loadbalancer.model.RequestClass;
+import loadbalancer.model.RuleSettings;
 
 /** Settings and server entries for tests. */
-final class Sites {
+final class TestSettings {
 
   static final double AIM = 1_000;
   static final double DEADLINE = 2_000;
 
-  private Sites() {}
+  private TestSettings() {}
 
   static Builder plain() {
     return new Builder();
   }
 
-  static Server server(long id) {
-    return new Server(id);
+  static EndpointBuilder server(long id) {
+    return new EndpointBuilder(id);
   }
 
-  static final class Server {
+  static final class EndpointBuilder {
     private final long id;
     private int zone;
     private int cell;
     private int kind;
-    private State state = State.READY;
+    private EndpointState state = EndpointState.READY;
     private double startedAt;
 
-    private Server(long id) {
+    private EndpointBuilder(long id) {
       this.id = id;
     }
 
-    Server zone(int value) {
+    EndpointBuilder zone(int value) {
       zone = value;
       return this;
     }
 
-    Server cell(int value) {
+    EndpointBuilder cell(int value) {
       cell = value;
       return this;
     }
 
-    Server kind(int value) {
+    EndpointBuilder kind(int value) {
       kind = value;
       return this;
     }
 
-    Server state(State value) {
+    EndpointBuilder state(EndpointState value) {
       state = value;
       return this;
     }
 
-    Server startedAt(double value) {
+    EndpointBuilder startedAt(double value) {
       startedAt = value;
       return this;
     }
 
-    Upstream listed() {
-      return new Upstream(id, zone, kind, cell, state, 1, startedAt);
+    Endpoint listed() {
+      return new Endpoint(id, zone, kind, cell, state, 1, startedAt);
     }
   }
 
   static final class Builder {
-    private Repeat repeat = Repeat.IDEMPOTENT;
-    private Group group = Group.ALL;
+    private Idempotency repeat = Idempotency.IDEMPOTENT;
+    private DeduplicationScope group = DeduplicationScope.ALL;
     private double memory = 5_000;
     private double lateWorth = 0.5;
     private boolean parallel;
@@ -109,12 +107,12 @@
       return this;
     }
 
-    Builder repeat(Repeat value) {
+    Builder repeat(Idempotency value) {
       repeat = value;
       return this;
     }
 
-    Builder group(Group value) {
+    Builder group(DeduplicationScope value) {
       group = value;
       return this;
     }
@@ -179,39 +177,31 @@
       return this;
     }
 
-    Settings build() {
-      List<ServiceClass> classes =
+    PolicySettings build() {
+      List<RequestClass> classes =
           List.of(
-              new ServiceClass(
+              new RequestClass(
                   "first", AIM, 0, DEADLINE, 5, lateWorth, repeat, group, memory, streamed, inOrder,
                   onlyZones, onlyKinds),
-              new ServiceClass(
+              new RequestClass(
                   "second", AIM, 0, DEADLINE, 1, lateWorth, repeat, group, memory, streamed,
                   inOrder, null, null));
-      return new Settings(
+      return new PolicySettings(
           position,
           siblings,
           tier,
-          3,
           0,
           2,
-          2,
           subscribe,
-          true,
-          false,
-          false,
           false,
-          0.1,
-          WeightKind.NONE,
-          Reports.NONE,
+          0.2,
+          LoadReportMode.NONE,
           List.of(),
           classes,
           List.of(),
-          new Limits(
-              4, 1_000, true, parallel, false, false, true, 2_000, 100, 30_000, 1, 0, 800_000),
-          new Rules(20, drainGrace, askEvery, 0.2, 10_000, 3, 1_500, 100),
-          new Goal(0.6, 0.2, 0.2, 0, 0, 0, 0, 0),
-          new Prices(crossZone, 0, 0.02, 0.03, connection, 0, 0, 0));
+          new LimitSettings(4, true, parallel, true, 2_000, 100, 30_000),
+          new RuleSettings(20, drainGrace, askEvery, 0.2, 10_000, 3, 100),
+          new CostSettings(crossZone, connection, 0));
     }
   }
 }
--- a/src/test/java/cranedeal/node/Rehearsal.java
+++ b/src/test/java/loadbalancer/proxy/ClassArchiveRecorder.java
@@ -1,4 +1,4 @@
-package cranedeal.node;
+package loadbalancer.proxy;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -16,11 +16,11 @@
  * ends it as the platform does, so that the virtual machine archives the classes that it has loaded
  * by then.
  */
-final class Rehearsal {
+final class ClassArchiveRecorder {
 
   private static final int REQUESTS = 300;
 
-  private Rehearsal() {}
+  private ClassArchiveRecorder() {}
 
   /** The arguments are the archive to make and the command that starts the program, java first. */
   public static void main(String[] arguments) throws Exception {
@@ -30,11 +30,11 @@
     command.add(1, "-XX:ArchiveClassesAtExit=" + part);
     Path file = Files.createTempFile("rehearsal", ".json");
     Process process = null;
-    try (Stage stage = new Stage(2)) {
-      for (Listener upstream : stage.upstreams) {
-        serve(upstream, Stage.ok("served"));
+    try (ProxyFixture stage = new ProxyFixture(2)) {
+      for (ScriptedListener upstream : stage.upstreams) {
+        serve(upstream, ProxyFixture.ok("served"));
       }
-      serve(stage.discovery, Stage.ok(Stage.roster(42, false)));
+      serve(stage.discovery, ProxyFixture.ok(ProxyFixture.roster(42, false)));
       int port;
       try (ServerSocket free = new ServerSocket(0)) {
         port = free.getLocalPort();
@@ -43,9 +43,11 @@
       ProcessBuilder builder = new ProcessBuilder(command).inheritIO();
       builder.environment().put("PROXY_CONFIG", file.toString());
       process = builder.start();
-      try (Peer caller = Peer.toServing(new InetSocketAddress("127.0.0.1", port), process)) {
+      try (HttpPeer caller =
+          HttpPeer.toServing(new InetSocketAddress("127.0.0.1", port), process)) {
         for (int i = 0; i < REQUESTS; i++) {
-          caller.write(i % 2 == 0 ? Stage.get("r" + i, "2") : Stage.spend("r" + i, "body"));
+          caller.write(
+              i % 2 == 0 ? ProxyFixture.get("r" + i, "2") : ProxyFixture.spend("r" + i, "body"));
           caller.read();
         }
       }
@@ -76,13 +78,13 @@
   }
 
   /** Answers whatever comes with the same text. */
-  private static void serve(Listener listener, String answer) {
+  private static void serve(ScriptedListener listener, String answer) {
     Thread acceptor =
         new Thread(
             () -> {
               try {
                 while (true) {
-                  Peer peer = listener.accept();
+                  HttpPeer peer = listener.accept();
                   Thread worker = new Thread(() -> answer(peer, answer));
                   worker.setDaemon(true);
                   worker.start();
@@ -95,7 +97,7 @@
     acceptor.start();
   }
 
-  private static void answer(Peer peer, String answer) {
+  private static void answer(HttpPeer peer, String answer) {
     try (peer) {
       while (peer.read() != null) {
         TimeUnit.MILLISECONDS.sleep(1);
--- a/src/test/java/cranedeal/node/CrowdTest.java
+++ b/src/test/java/loadbalancer/proxy/CrossZoneSpillTest.java
@@ -1,16 +1,16 @@
-package cranedeal.node;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cranedeal.LatencyWeightedBalancer;
 import java.io.IOException;
 import java.util.concurrent.LinkedBlockingQueue;
+import loadbalancer.policy.LatencyWeightedPolicy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** The module's weights over sockets: where calls go while a server lets them gather. */
 @Timeout(120)
-class CrowdTest {
+class CrossZoneSpillTest {
 
   private static final int CALLS = 100;
 
@@ -20,11 +20,12 @@
   private static final String LONG_AIM = "\"aim\":60000.0";
 
   /** Takes whatever comes to an upstream, says so and keeps it. */
-  private static void hold(Listener upstream, int number, LinkedBlockingQueue<Integer> taken) {
+  private static void hold(
+      ScriptedListener upstream, int number, LinkedBlockingQueue<Integer> taken) {
     daemon(
         () -> {
           while (true) {
-            Peer peer = upstream.accept();
+            HttpPeer peer = upstream.accept();
             daemon(
                 () -> {
                   while (peer.read() != null) {
@@ -56,19 +57,19 @@
   @Test
   void aCrowdAtHomeSendsCallsToAnotherZoneBeforeTheyAreLate() throws Exception {
     LinkedBlockingQueue<Integer> taken = new LinkedBlockingQueue<>();
-    try (Stage stage = new Stage(4)) {
+    try (ProxyFixture stage = new ProxyFixture(4)) {
       stage.atHome = 1;
       stage.aim = LONG_AIM;
       // Where clients arrive, a crowd that must be late is refused and not sent.
       stage.tier = 1;
-      stage.start(LatencyWeightedBalancer::new);
+      stage.start(LatencyWeightedPolicy::new);
       for (int i = 0; i < stage.upstreams.size(); i++) {
         hold(stage.upstreams.get(i), i, taken);
       }
       int[] held = new int[stage.upstreams.size()];
       for (int i = 0; i < CALLS; i++) {
-        stage.caller().write(Stage.spend("c" + i, "x"));
-        held[Script.next(taken)]++;
+        stage.caller().write(ProxyFixture.spend("c" + i, "x"));
+        held[ScriptedPolicy.next(taken)]++;
       }
       // A fifth of the aim is expected at first, and five calls are no crowd: 25 would fill the
       // aim.
@@ -80,19 +81,19 @@
   @Test
   void aServerAtHomeThatFailsAtOnceIsNotTakenForAFreeOne() throws Exception {
     LinkedBlockingQueue<Integer> taken = new LinkedBlockingQueue<>();
-    try (Stage stage = new Stage(6)) {
+    try (ProxyFixture stage = new ProxyFixture(6)) {
       stage.atHome = 1;
       stage.aim = LONG_AIM;
       // Where clients arrive, a crowd that must be late is refused and not sent.
       stage.tier = 1;
-      stage.start(LatencyWeightedBalancer::new);
+      stage.start(LatencyWeightedPolicy::new);
       for (int i = 1; i < stage.upstreams.size(); i++) {
         hold(stage.upstreams.get(i), i, taken);
       }
       daemon(
           () -> {
             while (true) {
-              Peer peer = stage.upstreams.get(0).accept();
+              HttpPeer peer = stage.upstreams.get(0).accept();
               daemon(
                   () -> {
                     while (peer.read() != null) {
@@ -104,9 +105,9 @@
           });
       int lost = 0;
       for (int i = 0; i < CALLS; i++) {
-        Peer caller = stage.caller();
-        caller.write(Stage.spend("f" + i, "x"));
-        if (Script.next(taken) == 0) {
+        HttpPeer caller = stage.caller();
+        caller.write(ProxyFixture.spend("f" + i, "x"));
+        if (ScriptedPolicy.next(taken) == 0) {
           lost++;
           // Told to the module by now, as the caller has its answer.
           caller.read();
--- a/src/test/java/cranedeal/node/DescriptorsTest.java
+++ b/src/test/java/loadbalancer/proxy/DescriptorLimitTest.java
@@ -1,4 +1,4 @@
-package cranedeal.node;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,27 +12,27 @@
 
 /** The program under a real limit on descriptors. */
 @Timeout(120)
-class DescriptorsTest {
+class DescriptorLimitTest {
 
   private static final int LIMIT = 128;
   private static final int CROWD = 2 * LIMIT;
 
   /** As many as the program's descriptors, and more that wait for one; none of them ever sends. */
-  private static List<Peer> crowd(InetSocketAddress node) throws IOException {
-    List<Peer> idle = new ArrayList<>();
+  private static List<HttpPeer> crowd(InetSocketAddress node) throws IOException {
+    List<HttpPeer> idle = new ArrayList<>();
     for (int i = 0; i < CROWD; i++) {
-      idle.add(Peer.to(node));
+      idle.add(HttpPeer.to(node));
     }
     return idle;
   }
 
   /** Has discovery tell a list, whatever calls it has left without an answer so far. */
-  private static Peer tell(Listener discovery, String roster) throws Exception {
+  private static HttpPeer tell(ScriptedListener discovery, String roster) throws Exception {
     while (true) {
-      Peer call = discovery.accept();
+      HttpPeer call = discovery.accept();
       try {
         if (call.read() != null) {
-          call.write(Stage.ok(roster));
+          call.write(ProxyFixture.ok(roster));
           // It has been taken in once the next call is out.
           if (call.read() != null) {
             return call;
@@ -44,50 +44,50 @@
     }
   }
 
-  private static void assertGoesTo(Listener upstream, String id, InetSocketAddress node)
+  private static void assertGoesTo(ScriptedListener upstream, String id, InetSocketAddress node)
       throws Exception {
-    try (Peer caller = Peer.to(node)) {
-      caller.write(Stage.get(id, "15"));
-      Peer taker = upstream.accept();
+    try (HttpPeer caller = HttpPeer.to(node)) {
+      caller.write(ProxyFixture.get(id, "15"));
+      HttpPeer taker = upstream.accept();
       assertEquals(id, taker.read().header("X-Txn"));
-      taker.write(Stage.ok(id));
+      taker.write(ProxyFixture.ok(id));
       assertEquals(id, caller.read().body());
     }
   }
 
   @Test
   void idleClientsThatFillTheDescriptorsKeepOutNeitherNewsNorAttempts() throws Exception {
-    List<Peer> idle = new ArrayList<>();
-    try (Stage stage = new Stage(2);
-        Listener second = new Listener()) {
+    List<HttpPeer> idle = new ArrayList<>();
+    try (ProxyFixture stage = new ProxyFixture(2);
+        ScriptedListener second = new ScriptedListener()) {
       stage.registryMode = "automatic";
       stage.sockets = LIMIT;
       String[] up = new String[2];
       String[] draining = new String[2];
       for (int i = 0; i < 2; i++) {
-        up[i] = Stage.entry(i, stage.upstreams.get(i).address(), "up");
-        draining[i] = Stage.entry(i, stage.upstreams.get(i).address(), "draining");
+        up[i] = ProxyFixture.entry(i, stage.upstreams.get(i).address(), "up");
+        draining[i] = ProxyFixture.entry(i, stage.upstreams.get(i).address(), "draining");
       }
-      try (ServeProcess node = ServeProcess.startInShell(stage, "ulimit -n " + LIMIT + "; exec")) {
+      try (ProxyProcess node = ProxyProcess.startInShell(stage, "ulimit -n " + LIMIT + "; exec")) {
         node.connect().close();
         // While discovery is silent they come, and wait for each other to go.
         idle.addAll(crowd(node.address));
         assertTrue(idle.get(0).ended());
         idle.addAll(crowd(node.address));
-        Peer watch = tell(stage.discovery, Stage.roster(42, false, draining[0]));
+        HttpPeer watch = tell(stage.discovery, ProxyFixture.roster(42, false, draining[0]));
         assertGoesTo(stage.upstreams.get(1), "first", node.address);
         // A new watch while the old one is still open on the other side.
         watch.reset();
         idle.addAll(crowd(node.address));
-        tell(stage.discovery, Stage.roster(43, false, up[0], draining[1]));
+        tell(stage.discovery, ProxyFixture.roster(43, false, up[0], draining[1]));
         assertGoesTo(stage.upstreams.get(0), "second", node.address);
         node.reload(node.config.replace(stage.discovery.address(), second.address()));
         idle.addAll(crowd(node.address));
-        tell(second, Stage.roster(7, true, draining[0], up[1]));
+        tell(second, ProxyFixture.roster(7, true, draining[0], up[1]));
         assertGoesTo(stage.upstreams.get(1), "third", node.address);
       }
     } finally {
-      for (Peer one : idle) {
+      for (HttpPeer one : idle) {
         one.close();
       }
     }
--- a/src/test/java/cranedeal/node/Backlog.java
+++ b/src/test/java/loadbalancer/proxy/FullBacklogListener.java
@@ -1,4 +1,4 @@
-package cranedeal.node;
+package loadbalancer.proxy;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -9,7 +9,7 @@
 import java.util.List;
 
 /** A listening socket whose queue is full: further connections hang until someone is accepted. */
-final class Backlog implements AutoCloseable {
+public final class FullBacklogListener implements AutoCloseable {
 
   /**
    * Connections that wait to be accepted, for which Linux takes one more than it is told. With only
@@ -22,27 +22,27 @@
   private final ServerSocket server = new ServerSocket(0, LENGTH, InetAddress.getLoopbackAddress());
   private final List<SocketChannel> filling = new ArrayList<>();
 
-  Backlog() throws Exception {
+  public FullBacklogListener() throws Exception {
     for (int i = 0; i <= LENGTH; i++) {
       filling.add(SocketChannel.open(server.getLocalSocketAddress()));
     }
   }
 
-  String address() {
+  public String address() {
     return "127.0.0.1:" + server.getLocalPort();
   }
 
   /** Lets those in that fill the queue, then the next one that is none of them. */
-  Peer acceptLast() throws Exception {
+  public HttpPeer acceptLast() throws Exception {
     List<Integer> own = new ArrayList<>();
     for (SocketChannel channel : filling) {
       own.add(((InetSocketAddress) channel.getLocalAddress()).getPort());
     }
-    server.setSoTimeout(Peer.PATIENCE_MS);
-    Peer next = new Peer(server.accept());
+    server.setSoTimeout(HttpPeer.PATIENCE_MS);
+    HttpPeer next = new HttpPeer(server.accept());
     while (own.contains(next.socket.getPort())) {
       next.close();
-      next = new Peer(server.accept());
+      next = new HttpPeer(server.accept());
     }
     return next;
   }
--- a/src/test/java/cranedeal/node/DrainTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -1,4 +1,4 @@
-package cranedeal.node;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,22 +9,23 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.proxy.config.ProxyConfig;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** The program as a process: its command line, and how it ends. */
 @Timeout(120)
-class DrainTest {
+class GracefulShutdownTest {
 
   private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n";
 
   private static void endsWithOneLine(int status, Path config, String... arguments)
       throws Exception {
-    Process process = ServeProcess.startWith(config, arguments);
+    Process process = ProxyProcess.startWith(config, arguments);
     try (BufferedReader error = process.errorReader()) {
       assertEquals(1, error.lines().filter(line -> !line.isBlank()).count());
     }
-    assertTrue(process.waitFor(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+    assertTrue(process.waitFor(HttpPeer.PATIENCE_MS, TimeUnit.MILLISECONDS));
     assertEquals(status, process.exitValue());
   }
 
@@ -35,7 +36,7 @@
     endsWithOneLine(1, null, "serve");
     endsWithOneLine(1, Path.of("no-such-file"), "serve");
     Path file = Files.createTempFile("node", ".json");
-    try (Stage stage = new Stage()) {
+    try (ProxyFixture stage = new ProxyFixture()) {
       for (String bad :
           new String[] {
             "",
@@ -58,48 +59,48 @@
 
   @Test
   void sigtermLetsAllThatIsTakenBeAnswered() throws Exception {
-    try (Stage stage = new Stage();
-        ServeProcess node = ServeProcess.start(stage)) {
-      Peer taken = node.connect();
-      Peer idle = Peer.to(node.address);
+    try (ProxyFixture stage = new ProxyFixture();
+        ProxyProcess node = ProxyProcess.start(stage)) {
+      HttpPeer taken = node.connect();
+      HttpPeer idle = HttpPeer.to(node.address);
       idle.write(HEALTH);
       assertEquals("keep-alive", idle.read().headers().getOrDefault("connection", "keep-alive"));
-      taken.write(Stage.get("taken", "10"));
-      Peer upstream = stage.upstreams.get(0).accept();
+      taken.write(ProxyFixture.get("taken", "10"));
+      HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
       node.process.destroy();
       // A second one, and a new configuration just then, change nothing.
       node.process.destroy();
       node.hangUp();
-      idle.write(Stage.get("reused", "10"));
-      Peer second = stage.upstreams.get(0).accept();
+      idle.write(ProxyFixture.get("reused", "10"));
+      HttpPeer second = stage.upstreams.get(0).accept();
       second.read();
       // A late caller, one on a connection that it had, and the one that was taken before.
-      Peer.Message late = null;
+      HttpPeer.Message late = null;
       while (late == null || late.header("Connection") == null) {
         // Callers are asked to leave only when the time for the last answers begins.
-        Peer caller = Peer.to(node.address);
+        HttpPeer caller = HttpPeer.to(node.address);
         caller.write(HEALTH);
         late = caller.read();
         assertEquals(200, late.status());
       }
-      second.write(Stage.ok("reused"));
-      Peer.Message reused = idle.read();
+      second.write(ProxyFixture.ok("reused"));
+      HttpPeer.Message reused = idle.read();
       assertEquals("reused", reused.body());
       assertEquals("close", reused.header("Connection"));
       assertTrue(idle.ended());
-      upstream.write(Stage.ok("taken"));
+      upstream.write(ProxyFixture.ok("taken"));
       assertEquals("taken", taken.read().body());
-      assertTrue(node.process.waitFor(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+      assertTrue(node.process.waitFor(HttpPeer.PATIENCE_MS, TimeUnit.MILLISECONDS));
     }
   }
 
   @Test
   void sighupReadsTheFileAgainAndABadOneChangesNothing() throws Exception {
-    try (Stage stage = new Stage();
-        Listener second = new Listener();
-        ServeProcess node = ServeProcess.start(stage)) {
-      Peer caller = node.connect();
+    try (ProxyFixture stage = new ProxyFixture();
+        ScriptedListener second = new ScriptedListener();
+        ProxyProcess node = ProxyProcess.start(stage)) {
+      HttpPeer caller = node.connect();
       stage.discovery.accept().read();
       node.reload("{");
       // Its complaint tells that it has been read.
@@ -122,9 +123,9 @@
     // What comes ahead of the virtual machine, which leaves a signal ignored that was so at its
     // start.
     String ahead = run.substring(run.indexOf('"') + 1, run.indexOf("java "));
-    try (Stage stage = new Stage();
-        Listener second = new Listener();
-        ServeProcess node = ServeProcess.startInShell(stage, "trap '' HUP; " + ahead)) {
+    try (ProxyFixture stage = new ProxyFixture();
+        ScriptedListener second = new ScriptedListener();
+        ProxyProcess node = ProxyProcess.startInShell(stage, "trap '' HUP; " + ahead)) {
       node.connect();
       node.reload(node.config.replace(stage.discovery.address(), second.address()));
       assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().first());
@@ -133,7 +134,7 @@
 
   @Test
   void aDrainServesCallersAsBeforeWhileThereIsTime() throws Exception {
-    try (Stage stage = new Stage().start()) {
+    try (ProxyFixture stage = new ProxyFixture().start()) {
       Thread drain =
           new Thread(
               () -> {
@@ -143,7 +144,7 @@
                   Thread.currentThread().interrupt();
                 }
               });
-      Peer caller = stage.caller();
+      HttpPeer caller = stage.caller();
       caller.write(HEALTH);
       caller.read();
       drain.start();
@@ -160,10 +161,10 @@
 
   @Test
   void whatADrainCannotFinishFailsBeforeItIsKilled() throws Exception {
-    try (Stage stage = new Stage().start()) {
-      Peer caller = stage.caller();
-      caller.write(Stage.spend("1", "x"));
-      Peer upstream = stage.upstreams.get(0).accept();
+    try (ProxyFixture stage = new ProxyFixture().start()) {
+      HttpPeer caller = stage.caller();
+      caller.write(ProxyFixture.spend("1", "x"));
+      HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
       stage.node.drain();
       assertEquals(504, caller.read().status());
@@ -173,12 +174,13 @@
 
   @Test
   void allThatHasComeByTheEndOfADrainIsAnswered() throws Exception {
-    try (Stage stage = new Stage().start()) {
-      Peer caller = stage.caller();
-      caller.write(Stage.spend("1", "x") + Stage.get("2", "10") + Stage.get("3", "10"));
-      Peer upstream = stage.upstreams.get(0).accept();
+    try (ProxyFixture stage = new ProxyFixture().start()) {
+      HttpPeer caller = stage.caller();
+      caller.write(
+          ProxyFixture.spend("1", "x") + ProxyFixture.get("2", "10") + ProxyFixture.get("3", "10"));
+      HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
-      Peer half = stage.caller();
+      HttpPeer half = stage.caller();
       half.write("GET /look-up/7");
       stage.node.onLoop(
           (frontend, upstreams) -> {
@@ -189,15 +191,15 @@
       assertEquals(504, caller.read().status());
       // They never ran, and may be sent again.
       assertEquals(503, caller.read().status());
-      Peer.Message last = caller.read();
+      HttpPeer.Message last = caller.read();
       assertEquals(503, last.status());
       assertEquals("close", last.header("Connection"));
       assertTrue(caller.ended());
       assertEquals(408, half.read().status());
       assertTrue(half.ended());
       // A connection that crosses the end is told so too.
-      Peer late = stage.caller();
-      late.write(Stage.get("4", "10"));
+      HttpPeer late = stage.caller();
+      late.write(ProxyFixture.get("4", "10"));
       assertEquals(503, late.read().status());
       assertEquals(0, stage.upstreams.get(0).waiting());
     }
@@ -205,26 +207,26 @@
 
   @Test
   void aRequestThatLiesUnreadInTheKernelAtTheEndOfADrainIsAnswered() throws Exception {
-    try (Stage stage = new Stage().start()) {
-      Peer kept = stage.caller();
+    try (ProxyFixture stage = new ProxyFixture().start()) {
+      HttpPeer kept = stage.caller();
       kept.write(HEALTH);
       kept.read();
-      Peer[] unread = {kept, null};
+      HttpPeer[] unread = {kept, null};
       stage.node.onLoop(
           (frontend, upstreams) -> {
             try {
               // The node reads neither before its end begins.
-              kept.write(Stage.get("1", "10"));
+              kept.write(ProxyFixture.get("1", "10"));
               unread[1] = stage.caller();
-              unread[1].write(Stage.get("2", "10"));
+              unread[1].write(ProxyFixture.get("2", "10"));
             } catch (IOException e) {
               throw new java.io.UncheckedIOException(e);
             }
             stage.node.end();
             return null;
           });
-      for (Peer caller : unread) {
-        Peer.Message answer = caller.read();
+      for (HttpPeer caller : unread) {
+        HttpPeer.Message answer = caller.read();
         assertEquals(503, answer.status());
         assertEquals("close", answer.header("Connection"));
         assertTrue(caller.ended());
@@ -235,9 +237,9 @@
   @Test
   void aNodeThatLetNobodyInYetCanBeDrained() throws Exception {
     Path file = Files.createTempFile("node", ".json");
-    try (Stage stage = new Stage()) {
+    try (ProxyFixture stage = new ProxyFixture()) {
       Files.writeString(file, stage.config());
-      Node node = Node.prepare(NodeConfig.read(file.toString()));
+      ProxyServer node = ProxyServer.prepare(ProxyConfig.read(file.toString()));
       node.drain();
       node.kill();
     } finally {
@@ -247,16 +249,16 @@
 
   @Test
   void aDrainDoesNotCloseAConnectionWithARequestInIt() throws Exception {
-    try (Stage stage = new Stage().start()) {
-      Peer caller = stage.caller();
+    try (ProxyFixture stage = new ProxyFixture().start()) {
+      HttpPeer caller = stage.caller();
       caller.write(HEALTH);
       caller.read();
-      caller.write(Stage.get("1", "10"));
+      caller.write(ProxyFixture.get("1", "10"));
       // The request lies in the kernel or is at work; either way it must not be lost.
       assertFalse(stage.node.endDrain());
-      Peer upstream = stage.upstreams.get(0).accept();
+      HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
-      upstream.write(Stage.ok("kept"));
+      upstream.write(ProxyFixture.ok("kept"));
       assertEquals("kept", caller.read().body());
     }
   }
--- a/src/test/java/cranedeal/node/Peer.java
+++ b/src/test/java/loadbalancer/proxy/HttpPeer.java
@@ -1,4 +1,4 @@
-package cranedeal.node;
+package loadbalancer.proxy;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -11,41 +11,41 @@
 import java.util.TreeMap;
 
 /** One end of a plain HTTP/1.1 connection, with nothing between the test and the bytes. */
-final class Peer implements AutoCloseable {
+public final class HttpPeer implements AutoCloseable {
 
   /** A message as it came: its first line, its headers by lower-case name, its body. */
-  record Message(String first, Map<String, String> headers, String body) {
+  public record Message(String first, Map<String, String> headers, String body) {
 
-    int status() {
+    public int status() {
       return Integer.parseInt(first.split(" ")[1]);
     }
 
-    String header(String name) {
+    public String header(String name) {
       return headers.get(name.toLowerCase(Locale.ROOT));
     }
   }
 
-  static final int PATIENCE_MS = 20_000;
+  public static final int PATIENCE_MS = 20_000;
 
-  final Socket socket;
+  public final Socket socket;
   private final InputStream in;
 
-  Peer(Socket socket) throws IOException {
+  HttpPeer(Socket socket) throws IOException {
     this.socket = socket;
     socket.setSoTimeout(PATIENCE_MS);
     socket.setTcpNoDelay(true);
     in = socket.getInputStream();
   }
 
-  static Peer to(InetSocketAddress address) throws IOException {
-    return new Peer(new Socket(InetAddress.getLoopbackAddress(), address.getPort()));
+  public static HttpPeer to(InetSocketAddress address) throws IOException {
+    return new HttpPeer(new Socket(InetAddress.getLoopbackAddress(), address.getPort()));
   }
 
   /** Connects as soon as the process serves. */
-  static Peer toServing(InetSocketAddress address, Process process) throws IOException {
+  static HttpPeer toServing(InetSocketAddress address, Process process) throws IOException {
     while (true) {
       try {
-        Peer peer = to(address);
+        HttpPeer peer = to(address);
         peer.write("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
         if (peer.read().status() != 200) {
           throw new AssertionError("not healthy");
@@ -60,12 +60,12 @@
     }
   }
 
-  void write(String text) throws IOException {
+  public void write(String text) throws IOException {
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
   /** The next message, or null at the end of the stream. */
-  Message read() throws IOException {
+  public Message read() throws IOException {
     String first = line();
     if (first == null) {
       return null;
@@ -81,12 +81,12 @@
   }
 
   /** How many bytes have come that were not read yet. */
-  int unread() throws IOException {
+  public int unread() throws IOException {
     return in.available();
   }
 
   /** Whether the other side has ended the connection; waits for that. */
-  boolean ended() {
+  public boolean ended() {
     try {
       return in.read() < 0;
     } catch (java.net.SocketTimeoutException e) {
@@ -110,7 +110,7 @@
   }
 
   /** Breaks the connection off with a reset. */
-  void reset() throws IOException {
+  public void reset() throws IOException {
     socket.setSoLinger(true, 0);
     socket.close();
   }
--- a/src/test/java/cranedeal/node/LateLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/LateEventLoopTest.java
@@ -1,11 +1,8 @@
-package cranedeal.node;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cranedeal.LoadBalancer.Change;
-import cranedeal.LoadBalancer.Request;
-import cranedeal.LoadBalancer.Result;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpMethod;
@@ -18,6 +15,13 @@
 import java.util.logging.LogRecord;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import loadbalancer.model.AttemptOutcome;
+import loadbalancer.model.ClientRequest;
+import loadbalancer.model.EndpointUpdateType;
+import loadbalancer.proxy.config.ProxyConfig;
+import loadbalancer.proxy.frontend.RequestValidator;
+import loadbalancer.proxy.json.JsonReader;
+import loadbalancer.proxy.logging.ProxyLogger;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -29,7 +33,7 @@
  * itself, and what comes first meanwhile is handled first.
  */
 @Timeout(60)
-class LateLoopTest {
+class LateEventLoopTest {
 
   private static final int LATE_MS = 300;
 
@@ -41,7 +45,7 @@
   }
 
   /** Does something while the loop can do nothing else. */
-  private static void keepBusy(Stage stage, Job job) throws Exception {
+  private static void keepBusy(ProxyFixture stage, Job job) throws Exception {
     stage.node.onLoop(
         (frontend, upstreams) -> {
           try {
@@ -54,17 +58,17 @@
   }
 
   /** Starts a node with a watch that its discovery has yet to answer. */
-  private static Peer startWatching(Stage stage) throws Exception {
-    stage.script.onStart = () -> stage.script.actions.watch(true);
+  private static HttpPeer startWatching(ProxyFixture stage) throws Exception {
+    stage.script.onStart = () -> stage.script.actions.watchEndpoints(true);
     stage.start();
-    assertEquals(Change.CACHED, Script.next(stage.script.changes));
-    Peer watch = stage.discovery.accept();
+    assertEquals(EndpointUpdateType.CACHED, ScriptedPolicy.next(stage.script.changes));
+    HttpPeer watch = stage.discovery.accept();
     watch.read();
     return watch;
   }
 
-  private static Peer healthyCaller(Stage stage) throws Exception {
-    Peer caller = stage.caller();
+  private static HttpPeer healthyCaller(ProxyFixture stage) throws Exception {
+    HttpPeer caller = stage.caller();
     caller.write("GET /_health HTTP/1.1\r\n\r\n");
     caller.read();
     return caller;
@@ -72,9 +76,9 @@
 
   @Test
   void newsOfDiscoveryIsTakenInAheadOfRequestsThatCameBeforeIt() throws Exception {
-    try (Stage stage = new Stage(2)) {
-      Peer watch = startWatching(stage);
-      Peer caller = healthyCaller(stage);
+    try (ProxyFixture stage = new ProxyFixture(2)) {
+      HttpPeer watch = startWatching(stage);
+      HttpPeer caller = healthyCaller(stage);
       LinkedBlockingQueue<Integer> newsAtRequest = new LinkedBlockingQueue<>();
       stage.script.onRequest =
           request -> {
@@ -84,35 +88,38 @@
       keepBusy(
           stage,
           () -> {
-            caller.write(Stage.get("1", "10"));
+            caller.write(ProxyFixture.get("1", "10"));
             watch.write(
-                Stage.ok(
-                    Stage.roster(
-                        42, false, Stage.entry(0, stage.upstreams.get(0).address(), "draining"))));
+                ProxyFixture.ok(
+                    ProxyFixture.roster(
+                        42,
+                        false,
+                        ProxyFixture.entry(0, stage.upstreams.get(0).address(), "draining"))));
             // Longer than the node lets pass between two looks at discovery.
             TimeUnit.MILLISECONDS.sleep(LATE_MS);
           });
-      assertEquals(1, Script.next(newsAtRequest), "the request was decided on by the old list");
+      assertEquals(
+          1, ScriptedPolicy.next(newsAtRequest), "the request was decided on by the old list");
     }
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void aRequestsTimeRunsWhileItOrItsConnectionWaits(boolean kept) throws Exception {
-    try (Stage stage = new Stage().start()) {
-      Peer known = healthyCaller(stage);
-      LinkedBlockingQueue<Request> requests = new LinkedBlockingQueue<>();
+    try (ProxyFixture stage = new ProxyFixture().start()) {
+      HttpPeer known = healthyCaller(stage);
+      LinkedBlockingQueue<ClientRequest> requests = new LinkedBlockingQueue<>();
       stage.script.onRequest = requests::add;
       double[] writtenAt = new double[1];
       keepBusy(
           stage,
           () -> {
-            Peer caller = kept ? known : stage.caller();
-            caller.write(Stage.get("1", "10"));
+            HttpPeer caller = kept ? known : stage.caller();
+            caller.write(ProxyFixture.get("1", "10"));
             writtenAt[0] = stage.node.now();
             TimeUnit.MILLISECONDS.sleep(LATE_MS);
           });
-      double deadline = Script.next(requests).deadline();
+      double deadline = ScriptedPolicy.next(requests).deadlineMillis();
       assertTrue(
           deadline <= writtenAt[0] + 10_000 + CLOCKS_MS,
           deadline - writtenAt[0] + " ms from when it was written");
@@ -121,14 +128,14 @@
 
   @Test
   void aLoopThatIsLateKeepsMoreOfARequestsTimeToTellItsClient() throws Exception {
-    try (Stage stage = new Stage().start()) {
-      Peer caller = healthyCaller(stage);
-      LinkedBlockingQueue<Request> requests = new LinkedBlockingQueue<>();
+    try (ProxyFixture stage = new ProxyFixture().start()) {
+      HttpPeer caller = healthyCaller(stage);
+      LinkedBlockingQueue<ClientRequest> requests = new LinkedBlockingQueue<>();
       stage.script.onRequest = requests::add;
       keepBusy(stage, () -> TimeUnit.MILLISECONDS.sleep(LATE_MS));
-      caller.write(Stage.get("1", "2"));
+      caller.write(ProxyFixture.get("1", "2"));
       double written = stage.node.now();
-      double kept = written + 2_000 - Script.next(requests).deadline();
+      double kept = written + 2_000 - ScriptedPolicy.next(requests).deadlineMillis();
       assertTrue(kept >= LATE_MS - CLOCKS_MS, kept + " ms");
     }
   }
@@ -144,11 +151,11 @@
   })
   void howeverLateALoopIsMostOfARequestsTimeIsLeft(String remaining, double lateness, double left)
       throws Exception {
-    try (Stage stage = new Stage()) {
-      RequestCheck check =
-          new RequestCheck(
-              NodeConfig.parse(
-                  Json.read(
+    try (ProxyFixture stage = new ProxyFixture()) {
+      RequestValidator check =
+          new RequestValidator(
+              ProxyConfig.parse(
+                  JsonReader.read(
                       new ByteArrayInputStream(stage.config().getBytes(StandardCharsets.UTF_8)))));
       FullHttpRequest request =
           new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/look-up/7");
@@ -180,9 +187,9 @@
           }
         };
     ProxyLogger.LOGGER.addHandler(log);
-    try (Stage stage = new Stage().start()) {
+    try (ProxyFixture stage = new ProxyFixture().start()) {
       keepBusy(stage, () -> TimeUnit.MILLISECONDS.sleep(LATE_MS));
-      Matcher told = Pattern.compile(" and (\\d+) ms at most").matcher(Script.next(lines));
+      Matcher told = Pattern.compile(" and (\\d+) ms at most").matcher(ScriptedPolicy.next(lines));
       assertTrue(told.find());
       assertTrue(Integer.parseInt(told.group(1)) >= LATE_MS - CLOCKS_MS, told.group());
     } finally {
@@ -192,29 +199,33 @@
 
   @Test
   void theGraceOfADrainRunsWhileItsNewsLiesUnread() throws Exception {
-    try (Stage stage = new Stage();
-        Backlog full = new Backlog()) {
+    try (ProxyFixture stage = new ProxyFixture();
+        FullBacklogListener full = new FullBacklogListener()) {
       stage.connectTimeout = 15_000;
       // Half of it is left to what waits for its connection, and the news lies unread for longer.
       stage.drainGrace = LATE_MS;
-      Peer watch = startWatching(stage);
-      watch.write(Stage.ok(Stage.roster(42, true, Stage.entry(9, full.address(), "up"))));
-      assertEquals(Change.FULL, Script.next(stage.script.changes));
+      HttpPeer watch = startWatching(stage);
+      watch.write(
+          ProxyFixture.ok(
+              ProxyFixture.roster(42, true, ProxyFixture.entry(9, full.address(), "up"))));
+      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.next(stage.script.changes));
       watch.read();
-      Peer caller = healthyCaller(stage);
-      caller.write(Stage.spend("1", "x"));
+      HttpPeer caller = healthyCaller(stage);
+      caller.write(ProxyFixture.spend("1", "x"));
       healthyCaller(stage);
-      Peer[] late = new Peer[1];
+      HttpPeer[] late = new HttpPeer[1];
       keepBusy(
           stage,
           () -> {
             watch.write(
-                Stage.ok(Stage.roster(43, false, Stage.entry(9, full.address(), "draining"))));
+                ProxyFixture.ok(
+                    ProxyFixture.roster(
+                        43, false, ProxyFixture.entry(9, full.address(), "draining"))));
             late[0] = full.acceptLast();
             TimeUnit.MILLISECONDS.sleep(LATE_MS);
           });
       assertTrue(late[0].ended(), "the request was written after the grace");
-      assertEquals(Result.CONNECT_FAILED, stage.script.result());
+      assertEquals(AttemptOutcome.CONNECT_FAILED, stage.script.result());
       late[0].close();
     }
   }
--- a/src/test/java/cranedeal/node/Stage.java
+++ b/src/test/java/loadbalancer/proxy/ProxyFixture.java
@@ -1,6 +1,5 @@
-package cranedeal.node;
+package loadbalancer.proxy;
 
-import cranedeal.LoadBalancer;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -8,22 +7,25 @@
 import java.util.List;
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
+import loadbalancer.policy.LoadBalancingPolicy;
+import loadbalancer.policy.PolicyActions;
+import loadbalancer.proxy.config.ProxyConfig;
 
 /**
  * A node on loopback addresses between listeners that the test plays upstreams and discovery on.
  */
-final class Stage implements AutoCloseable {
+public final class ProxyFixture implements AutoCloseable {
 
-  final Script script = new Script();
-  final Listener discovery = new Listener();
-  final List<Listener> upstreams = new ArrayList<>();
-  private final List<Peer> callers = new ArrayList<>();
+  public final ScriptedPolicy script = new ScriptedPolicy();
+  public final ScriptedListener discovery = new ScriptedListener();
+  public final List<ScriptedListener> upstreams = new ArrayList<>();
+  private final List<HttpPeer> callers = new ArrayList<>();
 
   /** Settings that a test may change before it starts the node. */
-  int sockets = 1_024;
+  public int sockets = 1_024;
 
-  int connectTimeout = 3_000;
-  int drainGrace = 2_000;
+  public int connectTimeout = 3_000;
+  public int drainGrace = 2_000;
 
   /**
    * How many of the upstreams, the first, are in the node's own zone; the others are of another
@@ -32,57 +34,57 @@
   int atHome = Integer.MAX_VALUE;
 
   /** How many of them the node knows from its start. */
-  int listed = Integer.MAX_VALUE;
+  public int listed = Integer.MAX_VALUE;
 
-  int askEvery = 1_000;
-  int maxAttempts = 4;
+  public int askEvery = 1_000;
+  public int maxAttempts = 4;
 
   /** The tier that it sends to; clients arrive at the first, 0. */
   int tier;
 
   /** Whether news of the upstreams comes to the module only once it has asked. */
-  String registryMode = "subscribe";
+  public String registryMode = "subscribe";
 
   /** How long the node waits for discovery's first answer before it lets callers in. */
-  long firstNews = Node.FIRST_NEWS_MS;
+  public long firstNews = ProxyServer.FIRST_NEWS_MS;
 
   /**
    * How long a connection to an upstream rests between two requests, in ms; none, so that one will
    * do.
    */
-  double settle;
+  public double settle;
 
   /** What a test changes of the configuration beyond that. */
-  UnaryOperator<String> edit = config -> config;
+  public UnaryOperator<String> edit = config -> config;
 
   /** What its random numbers begin with. */
-  String seed = "8c1f30d27a5be964";
+  public String seed = "8c1f30d27a5be964";
 
   /** The aim of the class that must never run twice. */
   String aim = "\"aim\":1500.0";
 
-  Node node;
+  public ProxyServer node;
 
-  Stage() throws IOException {
+  public ProxyFixture() throws IOException {
     this(1);
   }
 
-  Stage(int count) throws IOException {
+  public ProxyFixture(int count) throws IOException {
     for (int i = 0; i < count; i++) {
-      upstreams.add(new Listener());
+      upstreams.add(new ScriptedListener());
     }
   }
 
   /** Starts the node with the scripted module. */
-  Stage start() throws Exception {
+  public ProxyFixture start() throws Exception {
     return start(script::with);
   }
 
-  Stage start(Function<LoadBalancer.Actions, LoadBalancer> module) throws Exception {
+  public ProxyFixture start(Function<PolicyActions, LoadBalancingPolicy> module) throws Exception {
     Path file = Files.createTempFile("node", ".json");
     try {
       Files.writeString(file, edit.apply(config()));
-      node = Node.prepare(NodeConfig.read(file.toString()), module, firstNews);
+      node = ProxyServer.prepare(ProxyConfig.read(file.toString()), module, firstNews);
       node.onLoop(
           (frontend, upstreams) -> {
             upstreams.settleFor(settle);
@@ -95,19 +97,19 @@
     return this;
   }
 
-  static String entry(int number, String address, String state) {
+  public static String entry(int number, String address, String state) {
     return """
                 {"id":"s-%08x","addr":"%s","zone":"dakar-a","kind":"front-mid","cell":%d,"state":"%s",
                  "weight":1.0,"started_ms":0}"""
         .formatted(number, address, number, state);
   }
 
-  static String roster(long version, boolean full, String... entries) {
+  public static String roster(long version, boolean full, String... entries) {
     return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}"
         .formatted(version, full, String.join(",", entries));
   }
 
-  String config() {
+  public String config() {
     String[] entries = new String[Math.min(listed, upstreams.size())];
     for (int i = 0; i < entries.length; i++) {
       entries[i] = entry(i, upstreams.get(i).address(), "up");
@@ -155,14 +157,14 @@
   }
 
   /** A new connection of a caller. */
-  Peer caller() throws IOException {
-    Peer caller = Peer.to(node.address());
+  public HttpPeer caller() throws IOException {
+    HttpPeer caller = HttpPeer.to(node.address());
     callers.add(caller);
     return caller;
   }
 
   /** A request of the class that is safe to repeat. */
-  static String get(String id, String remaining) {
+  public static String get(String id, String remaining) {
     return "GET /look-up/7?z=3 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: "
         + id
         + "\r\nX-Lane: look-up\r\nX-Remaining: "
@@ -171,7 +173,7 @@
   }
 
   /** A request of the class that must never run twice. */
-  static String spend(String id, String body) {
+  public static String spend(String id, String body) {
     return "POST /credit-spend HTTP/1.1\r\nHost: app.svc\r\nX-Txn: "
         + id
         + "\r\nX-Lane: credit-spend\r\nX-Remaining: 10\r\nContent-Length: "
@@ -180,18 +182,18 @@
         + body;
   }
 
-  static String ok(String body) {
+  public static String ok(String body) {
     return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
   }
 
   /** Serves a request and asserts that the caller has its answer: the node is well. */
-  void servesStill() throws Exception {
-    Peer caller = caller();
+  public void servesStill() throws Exception {
+    HttpPeer caller = caller();
     caller.write(get("still", "10"));
-    Peer upstream = upstreams.get(0).accept();
+    HttpPeer upstream = upstreams.get(0).accept();
     upstream.read();
     upstream.write(ok("well"));
-    Peer.Message answer = caller.read();
+    HttpPeer.Message answer = caller.read();
     if (answer == null || answer.status() != 200 || !answer.body().equals("well")) {
       throw new AssertionError("not served: " + answer);
     }
@@ -199,13 +201,13 @@
 
   @Override
   public void close() throws IOException {
-    for (Peer caller : callers) {
+    for (HttpPeer caller : callers) {
       caller.close();
     }
     if (node != null) {
       node.kill();
     }
-    for (Listener upstream : upstreams) {
+    for (ScriptedListener upstream : upstreams) {
       upstream.close();
     }
     discovery.close();
--- a/src/test/java/cranedeal/node/ServeProcess.java
+++ b/src/test/java/loadbalancer/proxy/ProxyProcess.java
@@ -1,4 +1,4 @@
-package cranedeal.node;
+package loadbalancer.proxy;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -13,7 +13,7 @@
  * The program as a process of its own, and its configuration file; both are gone once this is
  * closed.
  */
-final class ServeProcess implements AutoCloseable {
+final class ProxyProcess implements AutoCloseable {
 
   private static final String JAVA =
       Path.of(System.getProperty("java.home"), "bin", "java").toString();
@@ -27,7 +27,7 @@
 
   private final Path file;
 
-  private ServeProcess(Stage stage, ProcessBuilder command) throws IOException {
+  private ProxyProcess(ProxyFixture stage, ProcessBuilder command) throws IOException {
     address = freeAddress();
     config = stage.config().replace("127.0.0.1:0", "127.0.0.1:" + address.getPort());
     file = Files.createTempFile("node", ".json");
@@ -45,22 +45,22 @@
   /**
    * Starts it between the test's upstreams and discovery, with such flags for the virtual machine.
    */
-  static ServeProcess start(Stage stage, String... flags) throws IOException {
+  static ProxyProcess start(ProxyFixture stage, String... flags) throws IOException {
     List<String> command = new ArrayList<>(List.of(JAVA));
     command.addAll(List.of(flags));
     command.addAll(List.of("-cp", CLASSES, Main.class.getName(), "serve"));
-    return new ServeProcess(stage, new ProcessBuilder(command));
+    return new ProxyProcess(stage, new ProcessBuilder(command));
   }
 
   /** Likewise from a shell that does {@code before} first; what it writes is not kept. */
-  static ServeProcess startInShell(Stage stage, String before) throws IOException {
+  static ProxyProcess startInShell(ProxyFixture stage, String before) throws IOException {
     ProcessBuilder command =
         new ProcessBuilder(
             "/bin/sh",
             "-c",
             before + " \"" + JAVA + "\" -cp \"$CLASSES\" " + Main.class.getName() + " serve");
     command.environment().put("CLASSES", CLASSES);
-    return new ServeProcess(stage, command.redirectErrorStream(true));
+    return new ProxyProcess(stage, command.redirectErrorStream(true));
   }
 
   /** Starts the program with these arguments; {@code config} names its configuration, null none. */
@@ -76,8 +76,8 @@
   }
 
   /** A connection to it, on which it has said that it serves. */
-  Peer connect() throws IOException {
-    return Peer.toServing(address, process);
+  HttpPeer connect() throws IOException {
+    return HttpPeer.toServing(address, process);
   }
 
   /** Replaces its configuration and tells it so. */
--- a/src/test/java/cranedeal/node/Listener.java
+++ b/src/test/java/loadbalancer/proxy/ScriptedListener.java
@@ -1,4 +1,4 @@
-package cranedeal.node;
+package loadbalancer.proxy;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -8,19 +8,19 @@
 import java.util.concurrent.TimeUnit;
 
 /** Listens on a port of its own and hands each connection to the test, which plays the server. */
-final class Listener implements AutoCloseable {
+public final class ScriptedListener implements AutoCloseable {
 
   private final ServerSocket server;
   private final java.net.Socket kept = new java.net.Socket();
-  private final LinkedBlockingQueue<Peer> accepted = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<HttpPeer> accepted = new LinkedBlockingQueue<>();
   private final Thread acceptor;
 
-  Listener() throws IOException {
+  public ScriptedListener() throws IOException {
     this(0);
   }
 
   /** With a receive buffer of a size, 0 for the system's choice. */
-  Listener(int receiveBuffer) throws IOException {
+  public ScriptedListener(int receiveBuffer) throws IOException {
     server = new ServerSocket();
     if (receiveBuffer > 0) {
       server.setReceiveBufferSize(receiveBuffer);
@@ -31,7 +31,7 @@
             () -> {
               try {
                 while (true) {
-                  accepted.add(new Peer(server.accept()));
+                  accepted.add(new HttpPeer(server.accept()));
                 }
               } catch (IOException e) {
                 // The test is over.
@@ -41,13 +41,13 @@
     acceptor.start();
   }
 
-  String address() {
+  public String address() {
     return "127.0.0.1:" + server.getLocalPort();
   }
 
   /** The next connection; fails the test if none comes. */
-  Peer accept() throws InterruptedException {
-    Peer peer = accepted.poll(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS);
+  public HttpPeer accept() throws InterruptedException {
+    HttpPeer peer = accepted.poll(HttpPeer.PATIENCE_MS, TimeUnit.MILLISECONDS);
     if (peer == null) {
       throw new AssertionError("no connection came");
     }
@@ -55,7 +55,7 @@
   }
 
   /** How many connections have come that the test has not looked at. */
-  int waiting() {
+  public int waiting() {
     return accepted.size();
   }
 
--- a/src/test/java/cranedeal/node/StartTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -1,4 +1,4 @@
-package cranedeal.node;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,7 +15,7 @@
 
 /** What a start costs, in counts that are the same on a slow machine and on one that is busy. */
 @Timeout(120)
-class StartTest {
+class StartupTest {
 
   /**
    * Classes from Jackson that a start may load: with its mapper there would be some four hundred.
@@ -28,11 +28,11 @@
   /** The names of the classes that a process has loaded by the time at which it serves. */
   private static List<String> classesOfAStart() throws Exception {
     Path log = Files.createTempFile("classes", ".log");
-    try (Stage stage = new Stage(2);
-        ServeProcess node =
-            ServeProcess.start(
+    try (ProxyFixture stage = new ProxyFixture(2);
+        ProxyProcess node =
+            ProxyProcess.start(
                 stage, "-Xlog:class+load:file=" + log + ":none", "-Dio.netty.jfr.enabled=false")) {
-      stage.discovery.accept().write(Stage.ok(Stage.roster(42, false)));
+      stage.discovery.accept().write(ProxyFixture.ok(ProxyFixture.roster(42, false)));
       node.connect().close();
       node.process.destroyForcibly().waitFor();
       try (Stream<String> lines = Files.lines(log)) {
@@ -81,7 +81,7 @@
     Path archive = folder.resolve("classes");
     Process stuck = writer(part, ":");
     try {
-      Rehearsal.keep(stuck, part, archive, Duration.ofMillis(1));
+      ClassArchiveRecorder.keep(stuck, part, archive, Duration.ofMillis(1));
       assertFalse(stuck.isAlive());
       assertFalse(Files.exists(archive));
       assertFalse(Files.exists(part));
@@ -90,7 +90,7 @@
     }
     Process ending = writer(part, "printf whole >> \"$0\"; exit 143");
     try {
-      Rehearsal.keep(ending, part, archive, Duration.ofMillis(Peer.PATIENCE_MS));
+      ClassArchiveRecorder.keep(ending, part, archive, Duration.ofMillis(HttpPeer.PATIENCE_MS));
       assertEquals("halfwhole", Files.readString(archive));
       assertFalse(Files.exists(part));
     } finally {
