--- a/src/test/java/cranedeal/node/EventLoopMonitorTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
@@ -1,4 +1,4 @@
-package cranedeal.node;
+package loadbalancer.proxy.eventloop;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
