--- a/src/main/java/loadbalancer/benchmark/BenchmarkMain.java
+++ b/src/main/java/loadbalancer/benchmark/BenchmarkMain.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
-import java.util.logging.Logger;
+import loadbalancer.proxy.logging.ProxyLogger;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -29,9 +29,6 @@
   private static final int OUT_OF_TIME = 3;
   private static final int LONGEST_SECONDS = 1_800;
 
-  /** Kept, as a logger that nobody holds on to forgets its level. */
-  private static final Logger NODE_LOG = Logger.getLogger("loadbalancer");
-
   @Option(
       names = "--limit",
       defaultValue = "600",
@@ -52,7 +49,16 @@
 
   /** The exit status: 0, 1 for a run that failed, 2 for arguments that are amiss. */
   static int run(String... args) {
-    NODE_LOG.setLevel(Level.SEVERE);
+    Level before = ProxyLogger.LOGGER.getLevel();
+    ProxyLogger.LOGGER.setLevel(Level.SEVERE);
+    try {
+      return execute(args);
+    } finally {
+      ProxyLogger.LOGGER.setLevel(before);
+    }
+  }
+
+  private static int execute(String... args) {
     BenchmarkMain main = new BenchmarkMain();
     CommandLine line = new CommandLine(main);
     line.setParameterExceptionHandler((e, given) -> say(e.getMessage(), BAD_ARGUMENTS));
--- a/src/test/java/loadbalancer/ProjectLayoutTest.java
+++ b/src/test/java/loadbalancer/ProjectLayoutTest.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
@@ -33,14 +34,18 @@
 
   private static List<Path> policyFiles() throws IOException {
     try (Stream<Path> files = Files.list(POLICY)) {
-      return files.filter(file -> file.toString().endsWith(".java")).sorted().toList();
+      return files.filter(file -> file.toString().matches(".*/[A-Z]\\w*\\.java")).sorted().toList();
     }
   }
 
   @Test
   void theDeployFileNamesWhatTheBuildMakesAndThePolicy() throws IOException {
     String deploy = Files.readString(Path.of("deploy/balancer.toml"));
-    assertEquals("[\"" + POLICY.toString().replace('\\', '/') + "\"]", value(deploy, "policy"));
+    String listed =
+        policyFiles().stream()
+            .map(file -> "\"" + file.toString().replace('\\', '/') + "\"")
+            .collect(Collectors.joining(", ", "[", "]"));
+    assertEquals(listed, value(deploy, "policy"));
     Matcher jar = Pattern.compile("-jar target/(\\S+)\\.jar wire").matcher(value(deploy, "sim"));
     assertTrue(jar.find(), "sim starts no jar");
     String pom = Files.readString(Path.of("pom.xml"));
--- a/src/test/java/loadbalancer/simulation/SimulationHostTest.java
+++ b/src/test/java/loadbalancer/simulation/SimulationHostTest.java
@@ -178,7 +178,7 @@
                 LoadBalancingPolicy.class.getClassLoader(),
                 new Class<?>[] {LoadBalancingPolicy.class},
                 (proxy, method, arguments) -> {
-                  if (method.getName().equals("timer")) {
+                  if (method.getName().equals("timerExpired")) {
                     throw new IllegalStateException("broken on purpose");
                   }
                   return null;
