--- a/src/main/java/loadbalancer/model/AttemptResult.java
+++ b/src/main/java/loadbalancer/model/AttemptResult.java
@@ -12,6 +12,7 @@
  * @param loadReport the endpoint's load report in the order of {@link
  *     PolicySettings#loadReportFields}, or null; not to be modified
  */
+@SuppressWarnings("ArrayRecordComponent") // one for each attempt: no copy, no boxing
 public record AttemptResult(
     long requestId,
     int attempt,
--- a/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
+++ b/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
@@ -623,7 +623,7 @@
   private boolean mayGoTo(InFlightRequest call, EndpointStatistics server, double now) {
     LimitSettings limits = settings.limits();
     if (call.attempts.size() >= limits.maxAttempts()
-        || call.running > 0 && !limits.parallelAttempts()
+        || (call.running > 0 && !limits.parallelAttempts())
         || !call.requestClass.allows(server.endpoint)) {
       return false;
     }
@@ -886,7 +886,7 @@
    */
   private void tryAgain(InFlightRequest call, AttemptOutcome result, double now) {
     boolean charged = result != AttemptOutcome.CONNECT_FAILED;
-    if (result == AttemptOutcome.NOT_SENT || charged && extraCalls < 1) {
+    if (result == AttemptOutcome.NOT_SENT || (charged && extraCalls < 1)) {
       answerUnserved(call, now);
     } else {
       extraCalls -= charged ? 1 : 0;
@@ -900,8 +900,8 @@
     boolean harmless =
         c.idempotency() == Idempotency.IDEMPOTENT
             || call.firstMaybeRun() == null
-            || c.idempotency() == Idempotency.DEDUPLICATED
-                && c.deduplicationScope() == DeduplicationScope.ALL;
+            || (c.idempotency() == Idempotency.DEDUPLICATED
+                && c.deduplicationScope() == DeduplicationScope.ALL);
     if (harmless) {
       actions.reject(call.id, settings.limits().retryAfterAdvice() ? comeBackAfter(call) : 0);
     } else {
--- a/src/main/java/loadbalancer/proxy/config/ProxyConfig.java
+++ b/src/main/java/loadbalancer/proxy/config/ProxyConfig.java
@@ -18,9 +18,9 @@
 /**
  * What the platform tells a balancer in the file that {@code PROXY_CONFIG} names.
  *
- * @param sockets how many file descriptors the process may hold
+ * @param maxDescriptors how many file descriptors the process may hold
  * @param zones the names of the zones, by the index that the module uses; likewise the others
- * @param known the upstreams as this balancer last had them
+ * @param knownEndpoints the upstreams as this balancer last had them
  */
 public record ProxyConfig(
     String name,
--- a/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
@@ -276,7 +276,7 @@
       throw RequestValidator.tooLarge();
     }
     if (part.isReadable()) {
-      if (body == Unpooled.EMPTY_BUFFER) {
+      if (body.maxCapacity() == 0) {
         body = channel.alloc().buffer(part.readableBytes(), ProtocolHeaders.MAX_BODY_BYTES);
       }
       body.writeBytes(part);
@@ -297,7 +297,7 @@
             arrival()));
     head = null;
     body = null;
-    if (ahead.size() > MAX_AHEAD || current != null && frontend.isFullAhead()) {
+    if (ahead.size() > MAX_AHEAD || (current != null && frontend.isFullAhead())) {
       // None of them is answered, the one at work neither: it could take its whole time.
       dropAhead();
       abandon();
@@ -432,7 +432,7 @@
     }
     boolean wantsMore = current != null && HttpUtil.isKeepAlive(current);
     // What has come whole already was taken, and is still answered here.
-    closing |= !wantsMore || frontend.isDraining() && ahead.isEmpty() && !decoder.amid;
+    closing |= !wantsMore || (frontend.isDraining() && ahead.isEmpty() && !decoder.amid);
     if (closing) {
       response.headers().set("Connection", "close");
     }
--- a/src/main/java/loadbalancer/proxy/frontend/Frontend.java
+++ b/src/main/java/loadbalancer/proxy/frontend/Frontend.java
@@ -189,7 +189,7 @@
   /**
    * Hears of a caller that could not be let in, and waits for the next sweep before it tries again.
    */
-  private final class Acceptor extends ChannelInboundHandlerAdapter {
+  private static final class Acceptor extends ChannelInboundHandlerAdapter {
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
--- a/src/main/java/loadbalancer/proxy/frontend/RequestValidator.java
+++ b/src/main/java/loadbalancer/proxy/frontend/RequestValidator.java
@@ -147,7 +147,7 @@
     RequestClass type = config.settings().requestClasses().get(place);
     boolean get = request.method().equals(HttpMethod.GET);
     if (get != (type.idempotency() == Idempotency.IDEMPOTENT)
-        || !get && !request.method().equals(HttpMethod.POST)) {
+        || (!get && !request.method().equals(HttpMethod.POST))) {
       throw new BadRequestException("the class wants another method");
     }
     if (get && request.content().isReadable()) {
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamClient.java
@@ -677,7 +677,7 @@
       // Nothing is served before a request's last byte is out: that answers another's.
       if (carried == null
           || !response.decoderResult().isSuccess()
-          || !carried.written && response.status().code() == 200) {
+          || (!carried.written && response.status().code() == 200)) {
         spoilt();
         return;
       }
--- a/src/main/java/loadbalancer/simulation/SimulationHost.java
+++ b/src/main/java/loadbalancer/simulation/SimulationHost.java
@@ -157,35 +157,43 @@
     LoadBalancingPolicy balancer = hosted.balancer();
     double now = clock;
     switch (code) {
-      case 1:
+      case 1 -> {
         return decodeDiscovery(at, balancer);
-      case 2:
+      }
+      case 2 -> {
         ClientRequest request = readRequest(at, hosted.settings());
         return () -> balancer.requestArrived(now, request);
-      case 3:
+      }
+      case 3 -> {
         long streamed = LittleEndian.getLong(body, at + 5);
         int attempt = LittleEndian.getShort(body, at + 13);
         double begun = number(at + 21, "elapsed");
         return () -> balancer.responseStarted(now, streamed, attempt, begun);
-      case 4:
+      }
+      case 4 -> {
         AttemptResult outcome = readOutcome(at);
         return () -> balancer.attemptFinished(now, outcome);
-      case 5:
+      }
+      case 5 -> {
         long gone = LittleEndian.getLong(body, at + 5);
         return () -> balancer.clientDisconnected(now, gone);
-      case 6:
+      }
+      case 6 -> {
         long token = LittleEndian.getLong(body, at + 5);
         return () -> balancer.timerExpired(now, token);
-      case 7:
+      }
+      case 7 -> {
         long upstream = LittleEndian.getUpstream(body, at + 5);
         AttemptOutcome result = result(LittleEndian.getByte(body, at + 11));
         double elapsed = number(at + 12, "elapsed");
         double[] report = report(at + 20);
         return () -> balancer.healthCheckCompleted(now, upstream, result, elapsed, report);
-      default:
+      }
+      default -> {
         int sender = LittleEndian.getShort(body, at + 5);
         byte[] payload = tail(at + 7, 1);
         return () -> balancer.peerMessageReceived(now, sender, payload);
+      }
     }
   }
 
@@ -277,26 +285,17 @@
   }
 
   private static AttemptOutcome result(int code) {
-    switch (code) {
-      case 10:
-        return AttemptOutcome.OK;
-      case 20:
-        return AttemptOutcome.ERROR;
-      case 30:
-        return AttemptOutcome.FULL;
-      case 40:
-        return AttemptOutcome.TIMEOUT;
-      case 50:
-        return AttemptOutcome.CONNECT_FAILED;
-      case 60:
-        return AttemptOutcome.RESET;
-      case 70:
-        return AttemptOutcome.CANCELLED;
-      case 80:
-        return AttemptOutcome.NOT_SENT;
-      default:
-        throw new MalformedInputException("unknown outcome " + code);
-    }
+    return switch (code) {
+      case 10 -> AttemptOutcome.OK;
+      case 20 -> AttemptOutcome.ERROR;
+      case 30 -> AttemptOutcome.FULL;
+      case 40 -> AttemptOutcome.TIMEOUT;
+      case 50 -> AttemptOutcome.CONNECT_FAILED;
+      case 60 -> AttemptOutcome.RESET;
+      case 70 -> AttemptOutcome.CANCELLED;
+      case 80 -> AttemptOutcome.NOT_SENT;
+      default -> throw new MalformedInputException("unknown outcome " + code);
+    };
   }
 
   private double[] report(int at) {
@@ -326,7 +325,7 @@
   private int tailOffset(int at, int unit) {
     long offset = LittleEndian.getUnsignedInt(body, at);
     long bytes = LittleEndian.getUnsignedInt(body, at + 4) * unit;
-    long size = body.length - tailAt;
+    long size = (long) body.length - tailAt;
     if (offset + bytes > size) {
       throw new MalformedInputException(
           "offset " + offset + " with " + bytes + " bytes leaves the tail of " + size);
--- a/src/test/java/loadbalancer/benchmark/SmallBenchmarkTest.java
+++ b/src/test/java/loadbalancer/benchmark/SmallBenchmarkTest.java
@@ -48,7 +48,7 @@
   }
 
   private static long answer(String body) {
-    return HEAD + Integer.toString(body.length()).length() + body.length();
+    return (long) HEAD + Integer.toString(body.length()).length() + body.length();
   }
 
   /**
--- a/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -127,23 +127,12 @@
 
     private void step() {
       switch (random.nextInt(12)) {
-        case 0, 1, 2, 3:
-          arrive();
-          break;
-        case 4, 5, 6, 7:
-          finishOne();
-          break;
-        case 8:
-          changeList();
-          break;
-        case 9:
-          leave();
-          break;
-        case 10:
-          stream();
-          break;
-        default:
-          advance(random.nextDouble() * 200);
+        case 0, 1, 2, 3 -> arrive();
+        case 4, 5, 6, 7 -> finishOne();
+        case 8 -> changeList();
+        case 9 -> leave();
+        case 10 -> stream();
+        default -> advance(random.nextDouble() * 200);
       }
     }
 
@@ -164,7 +153,7 @@
 
     /** Whether a request's class may go to a server at all. */
     private boolean open(int serviceClass, int server) {
-      return !placed || serviceClass == 1 || server % 2 == 1 && server / 4 == 0;
+      return !placed || serviceClass == 1 || (server % 2 == 1 && server / 4 == 0);
     }
 
     /**
@@ -309,7 +298,7 @@
         assertTrue(
             !maybeRun
                 || repeat == Idempotency.IDEMPOTENT
-                || repeat == Idempotency.DEDUPLICATED && group == DeduplicationScope.ALL,
+                || (repeat == Idempotency.DEDUPLICATED && group == DeduplicationScope.ALL),
             where + ": refused " + id);
       }
       Set<Long> answered = new HashSet<>(servedOrGone);
--- a/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
@@ -141,7 +141,7 @@
     int timers = 200;
     long iterations = iterationsFor(timers, micros);
     // To set it wakes the loop up, it is due, and it may be found to be due a little early.
-    assertTrue(iterations <= 4 * timers, iterations + " iterations for " + timers + " timers");
+    assertTrue(iterations <= 4L * timers, iterations + " iterations for " + timers + " timers");
   }
 
   /**
--- a/src/test/java/loadbalancer/simulation/SimulationHostTest.java
+++ b/src/test/java/loadbalancer/simulation/SimulationHostTest.java
@@ -24,6 +24,7 @@
   private static final int INSTANCE = 3;
   private static final long UPSTREAM = 0x232b_074a_120aL;
 
+  @SuppressWarnings("ArrayRecordComponent") // compared with assertArrayEquals
   private record Run(int status, byte[] out, String err) {}
 
   private static Run run(byte[] input) {
