--- a/src/main/java/loadbalancer/benchmark/SimulatedBalancer.java
+++ b/src/main/java/loadbalancer/benchmark/SimulatedBalancer.java
@@ -115,7 +115,8 @@
     this.listener = listener;
     config = template.at(position, seed);
     discovery =
-        new DiscoveryClient(loop, config, memory, this::told, () -> {}, DiscoveryClient.WATCH_MS);
+        new DiscoveryClient(
+            loop, config, memory, this::told, () -> {}, DiscoveryClient.MAX_WATCH_MILLIS);
   }
 
   /** Starts one on a loop; its watch begins as that of {@code ProxyServer} does. */
--- a/src/main/java/loadbalancer/proxy/InFlightExchange.java
+++ b/src/main/java/loadbalancer/proxy/InFlightExchange.java
@@ -78,6 +78,8 @@
     if (overdueTimer != null) {
       overdueTimer.cancel(false);
     }
-    attempts.stream().filter(Objects::nonNull).forEach(UpstreamClient.Attempt::withdraw);
+    attempts.stream()
+        .filter(Objects::nonNull)
+        .forEach(UpstreamClient.Attempt::abandonUnlessWritten);
   }
 }
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -140,7 +140,7 @@
             memory,
             this::told,
             () -> sockets.evictIdleConnections(clock.now()),
-            DiscoveryClient.WATCH_MS);
+            DiscoveryClient.MAX_WATCH_MILLIS);
     frontend = new Frontend(loop, config, sockets, memory, this, monitor);
   }
 
@@ -162,7 +162,7 @@
             new MultiThreadIoEventLoopGroup(
                     1,
                     new DefaultThreadFactory("node", true),
-                    monitor.watch(NioIoHandler.newFactory()))
+                    monitor.wrap(NioIoHandler.newFactory()))
                 .next();
     ProxyServer node = new ProxyServer(config, loop, monitor, module);
     loop.submit(node::begin).sync();
@@ -184,7 +184,7 @@
     EndpointListUpdate known =
         new EndpointListUpdate(
             config.knownEndpoints().version(), true, config.knownEndpoints().entries());
-    upstreams.update(known, clock.now());
+    upstreams.updateEndpoints(known, clock.now());
     loop.scheduleAtFixedRate(
         this::reportLateness, LATENESS_REPORT_MS, LATENESS_REPORT_MS, TimeUnit.MILLISECONDS);
     sendToPeer(null, () -> balancer.start(clock.now(), config.settings(), config.seed()));
@@ -233,7 +233,7 @@
     double begun = clock.now();
     double latest = begun + Math.min(longest, LONGEST_DRAIN_MS) + DRAIN_SLACK_MS;
     Thread.sleep((long) Math.max(LATE_CONNECTIONS_MS, latest - begun - LAST_ANSWERS_MS));
-    loop.submit(frontend::beginDrain).sync();
+    loop.submit(frontend::beginGracefulShutdown).sync();
     boolean done = endDrain();
     while (!done && clock.now() < latest) {
       Thread.sleep(DRAIN_CHECK_MS);
@@ -248,7 +248,7 @@
    * connection is left on which another request could come.
    */
   void end() {
-    frontend.end();
+    frontend.forceShutdown();
     List.copyOf(exchanges.values()).stream()
         .filter(InFlightExchange::isOpen)
         .forEach(exchange -> fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT));
@@ -256,12 +256,12 @@
 
   /** Closes callers' connections that are idle; whether none is left. */
   boolean endDrain() throws InterruptedException {
-    return loop.submit(frontend::endDrain).sync().getNow();
+    return loop.submit(frontend::closeIdleConnections).sync().getNow();
   }
 
   /** Takes over what may change while a balancer runs, which is where discovery is. */
   public void reload(ProxyConfig changed) {
-    loop.execute(() -> discovery.moveTo(changed.discovery()));
+    loop.execute(() -> discovery.switchTo(changed.discovery()));
   }
 
   /** Its parts, for tests; they are to be used on the loop only. */
@@ -314,7 +314,7 @@
     double now = clock.now();
     boolean busy = monitor.longestWaitMillis() >= DISCOVERY_POLL_MS;
     if (busy && now - discoveryPolledAt >= DISCOVERY_POLL_MS) {
-      discovery.poll();
+      discovery.readPending();
       discoveryPolledAt = now;
     }
   }
@@ -349,7 +349,7 @@
   private void told(EndpointUpdateType change, EndpointListUpdate roster) {
     List<Endpoint> entries = roster == null ? List.of() : roster.endpoints();
     if (roster != null) {
-      upstreams.update(roster, toldSince());
+      upstreams.updateEndpoints(roster, toldSince());
     }
     boolean[] taken = new boolean[1];
     sendToPeer(
@@ -480,12 +480,12 @@
     UpstreamClient.Listener listener =
         new UpstreamClient.Listener() {
           @Override
-          public void finished(AttemptOutcome result, FullHttpResponse response) {
+          public void attemptFinished(AttemptOutcome result, FullHttpResponse response) {
             ProxyServer.this.finished(exchange, number, upstream, now, result, response);
           }
 
           @Override
-          public boolean awaits() {
+          public boolean isStillWanted() {
             pollDiscovery();
             return isAwaited(exchange);
           }
@@ -529,7 +529,7 @@
   public void checkHealth(long upstream) {
     double sentAt = clock.now();
     double until = sentAt + config.settings().limits().connectTimeoutMillis() * 2;
-    upstreams.probe(
+    upstreams.checkHealth(
         upstream,
         until,
         (result, response) -> {
@@ -547,7 +547,7 @@
 
   @Override
   public void closeIdleConnections(long upstream) {
-    upstreams.closeIdle(upstream);
+    upstreams.closeIdleConnections(upstream);
   }
 
   @Override
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -51,7 +51,7 @@
    * then the list grows old; an answer without news is cheap. Balancers that start together must
    * not ask in step.
    */
-  public static final int WATCH_MS = 2_000;
+  public static final int MAX_WATCH_MILLIS = 2_000;
 
   private static final int SHORTEST_PART = 2;
 
@@ -67,7 +67,7 @@
   public interface Listener {
 
     /** News; the roster is null if the call failed. */
-    void told(EndpointUpdateType change, EndpointListUpdate roster);
+    void onUpdate(EndpointUpdateType change, EndpointListUpdate roster);
   }
 
   private final EventLoop loop;
@@ -159,7 +159,7 @@
    * and the new one is asked for its whole list at once: its versions need not go on from the old
    * one's.
    */
-  public void moveTo(InetSocketAddress other) {
+  public void switchTo(InetSocketAddress other) {
     if (other.equals(address)) {
       return;
     }
@@ -218,7 +218,7 @@
    * Takes in at once what the kernel holds of the watch's answer. Does nothing while one is taken
    * in.
    */
-  public void poll() {
+  public void readPending() {
     if (!taking && watch != null && watch.channel != null) {
       DescriptorBudget.readNow(watch.channel);
     }
@@ -255,7 +255,8 @@
     failed = roster == null;
     if (roster != null) {
       try {
-        listener.told(roster.full() ? EndpointUpdateType.FULL : EndpointUpdateType.DELTA, roster);
+        listener.onUpdate(
+            roster.full() ? EndpointUpdateType.FULL : EndpointUpdateType.DELTA, roster);
         version = roster.version();
       } catch (RuntimeException e) {
         ProxyLogger.LOGGER.log(Level.SEVERE, "a list of upstreams could not be taken in", e);
@@ -264,7 +265,7 @@
       }
     }
     if (failed) {
-      listener.told(EndpointUpdateType.FAILED, null);
+      listener.onUpdate(EndpointUpdateType.FAILED, null);
     }
   }
 
--- a/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
@@ -47,7 +47,7 @@
   private long longestInWindowBefore;
   private long windowBegan;
   private boolean started;
-  private long iteration;
+  private long iterationCount;
   private long selectedAt;
 
   /** When the selector returned before the present iteration. */
@@ -67,13 +67,13 @@
   }
 
   /** Makes handlers that work as those of {@code handlers} do and report to this monitor. */
-  public IoHandlerFactory watch(IoHandlerFactory handlers) {
+  public IoHandlerFactory wrap(IoHandlerFactory handlers) {
     return executor -> new WatchedHandler(handlers.newHandler(executor));
   }
 
   /** The number of the present iteration. */
-  public long iteration() {
-    return iteration;
+  public long iterationCount() {
+    return iterationCount;
   }
 
   /**
@@ -126,7 +126,7 @@
       count(now - selectedAt, now);
     }
     started = true;
-    iteration++;
+    iterationCount++;
     selectedBefore = selectedAt;
   }
 
--- a/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
@@ -126,7 +126,7 @@
     this.monitor = monitor;
     this.channel = channel;
     earliestAccept = earliestArrival();
-    acceptedIn = monitor.iteration();
+    acceptedIn = monitor.iterationCount();
     since = node.now();
   }
 
@@ -311,7 +311,7 @@
    * connection can be may have come with the connection.
    */
   private double arrival() {
-    boolean atOnce = monitor.iteration() - acceptedIn <= 1;
+    boolean atOnce = monitor.iterationCount() - acceptedIn <= 1;
     return atOnce ? earliestAccept : earliestArrival();
   }
 
--- a/src/main/java/loadbalancer/proxy/frontend/Frontend.java
+++ b/src/main/java/loadbalancer/proxy/frontend/Frontend.java
@@ -114,12 +114,12 @@
   }
 
   /** From now on every answer asks its caller to leave. */
-  public void beginDrain() {
+  public void beginGracefulShutdown() {
     draining = true;
   }
 
   /** Closes what is idle and tells whether nothing is left, so that the process may end. */
-  public boolean endDrain() {
+  public boolean closeIdleConnections() {
     letIn();
     for (ClientConnection connection : new ArrayList<>(connections)) {
       connection.closeIfIdle();
@@ -131,7 +131,7 @@
    * From now on nothing more is begun: whoever is idle or has sent half a request goes, and what
    * waits for its turn, or comes now, is refused once the request at work has its answer.
    */
-  public void end() {
+  public void forceShutdown() {
     draining = true;
     ending = true;
     letIn();
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamClient.java
@@ -94,12 +94,12 @@
     /**
      * Called once, when the attempt is over; the response, null if none came, is not to be kept.
      */
-    void finished(AttemptOutcome result, FullHttpResponse response);
+    void attemptFinished(AttemptOutcome result, FullHttpResponse response);
 
     /**
      * Whether the outcome is of use now; asked before what waited for its connection is written.
      */
-    default boolean awaits() {
+    default boolean isStillWanted() {
       return true;
     }
   }
@@ -188,7 +188,7 @@
    * Takes in a list that counts as told since a time; what an upstream that left or drains still
    * holds idle is of no more use.
    */
-  public void update(EndpointListUpdate roster, double toldSince) {
+  public void updateEndpoints(EndpointListUpdate roster, double toldSince) {
     Map<Long, Target> left = new HashMap<>(roster.full() ? targets : Map.of());
     for (Entry member : roster.entries()) {
       left.remove(member.endpoint().id());
@@ -237,7 +237,7 @@
   }
 
   /** Asks an upstream how it does; the answer's body holds its load report if the site has any. */
-  public void probe(long upstream, double until, Listener listener) {
+  public void checkHealth(long upstream, double until, Listener listener) {
     String path = settings.loadReportFields().isEmpty() ? "/ping" : "/_load";
     send(
         upstream,
@@ -247,7 +247,7 @@
         listener);
   }
 
-  public void closeIdle(long upstream) {
+  public void closeIdleConnections(long upstream) {
     Target target = targets.get(upstream);
     if (target != null) {
       target.closeIdle();
@@ -406,7 +406,7 @@
                 connection.park(target);
               } else if (over) {
                 opened.close();
-              } else if (!listener.awaits()) {
+              } else if (!listener.isStillWanted()) {
                 giveUp(AttemptOutcome.NOT_SENT);
               } else {
                 begin(connection);
@@ -486,7 +486,7 @@
     }
 
     /** Nobody waits for the request any more: what still waits for its connection is not sent. */
-    public void withdraw() {
+    public void abandonUnlessWritten() {
       if (Double.isNaN(begunAt)) {
         giveUp(AttemptOutcome.NOT_SENT);
       }
@@ -510,7 +510,7 @@
         } else {
           List.copyOf(dialled).forEach(Channel::close);
         }
-        listener.finished(result, null);
+        listener.attemptFinished(result, null);
       }
     }
 
@@ -533,7 +533,7 @@
       if (!over) {
         over = true;
         expiry.cancel(false);
-        listener.finished(result, response);
+        listener.attemptFinished(result, response);
       }
     }
   }
--- a/src/test/java/loadbalancer/proxy/ClassArchiveRecorder.java
+++ b/src/test/java/loadbalancer/proxy/ClassArchiveRecorder.java
@@ -32,9 +32,9 @@
     Process process = null;
     try (ProxyFixture stage = new ProxyFixture(2)) {
       for (ScriptedListener upstream : stage.upstreams) {
-        serve(upstream, ProxyFixture.ok("served"));
+        serve(upstream, ProxyFixture.okResponse("served"));
       }
-      serve(stage.discovery, ProxyFixture.ok(ProxyFixture.roster(42, false)));
+      serve(stage.discovery, ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
       int port;
       try (ServerSocket free = new ServerSocket(0)) {
         port = free.getLocalPort();
@@ -44,10 +44,12 @@
       builder.environment().put("PROXY_CONFIG", file.toString());
       process = builder.start();
       try (HttpPeer caller =
-          HttpPeer.toServing(new InetSocketAddress("127.0.0.1", port), process)) {
+          HttpPeer.connectWhenServing(new InetSocketAddress("127.0.0.1", port), process)) {
         for (int i = 0; i < REQUESTS; i++) {
           caller.write(
-              i % 2 == 0 ? ProxyFixture.get("r" + i, "2") : ProxyFixture.spend("r" + i, "body"));
+              i % 2 == 0
+                  ? ProxyFixture.idempotentRequest("r" + i, "2")
+                  : ProxyFixture.atMostOnceRequest("r" + i, "body"));
           caller.read();
         }
       }
--- a/src/test/java/loadbalancer/proxy/CrossZoneSpillTest.java
+++ b/src/test/java/loadbalancer/proxy/CrossZoneSpillTest.java
@@ -58,7 +58,7 @@
   void aCrowdAtHomeSendsCallsToAnotherZoneBeforeTheyAreLate() throws Exception {
     LinkedBlockingQueue<Integer> taken = new LinkedBlockingQueue<>();
     try (ProxyFixture stage = new ProxyFixture(4)) {
-      stage.atHome = 1;
+      stage.endpointsInOwnZone = 1;
       stage.aim = LONG_AIM;
       // Where clients arrive, a crowd that must be late is refused and not sent.
       stage.tier = 1;
@@ -68,8 +68,8 @@
       }
       int[] held = new int[stage.upstreams.size()];
       for (int i = 0; i < CALLS; i++) {
-        stage.caller().write(ProxyFixture.spend("c" + i, "x"));
-        held[ScriptedPolicy.next(taken)]++;
+        stage.connectClient().write(ProxyFixture.atMostOnceRequest("c" + i, "x"));
+        held[ScriptedPolicy.takeNext(taken)]++;
       }
       // A fifth of the aim is expected at first, and five calls are no crowd: 25 would fill the
       // aim.
@@ -82,7 +82,7 @@
   void aServerAtHomeThatFailsAtOnceIsNotTakenForAFreeOne() throws Exception {
     LinkedBlockingQueue<Integer> taken = new LinkedBlockingQueue<>();
     try (ProxyFixture stage = new ProxyFixture(6)) {
-      stage.atHome = 1;
+      stage.endpointsInOwnZone = 1;
       stage.aim = LONG_AIM;
       // Where clients arrive, a crowd that must be late is refused and not sent.
       stage.tier = 1;
@@ -105,9 +105,9 @@
           });
       int lost = 0;
       for (int i = 0; i < CALLS; i++) {
-        HttpPeer caller = stage.caller();
-        caller.write(ProxyFixture.spend("f" + i, "x"));
-        if (ScriptedPolicy.next(taken) == 0) {
+        HttpPeer caller = stage.connectClient();
+        caller.write(ProxyFixture.atMostOnceRequest("f" + i, "x"));
+        if (ScriptedPolicy.takeNext(taken) == 0) {
           lost++;
           // Told to the module by now, as the caller has its answer.
           caller.read();
--- a/src/test/java/loadbalancer/proxy/DescriptorLimitTest.java
+++ b/src/test/java/loadbalancer/proxy/DescriptorLimitTest.java
@@ -21,7 +21,7 @@
   private static List<HttpPeer> crowd(InetSocketAddress node) throws IOException {
     List<HttpPeer> idle = new ArrayList<>();
     for (int i = 0; i < CROWD; i++) {
-      idle.add(HttpPeer.to(node));
+      idle.add(HttpPeer.connect(node));
     }
     return idle;
   }
@@ -32,7 +32,7 @@
       HttpPeer call = discovery.accept();
       try {
         if (call.read() != null) {
-          call.write(ProxyFixture.ok(roster));
+          call.write(ProxyFixture.okResponse(roster));
           // It has been taken in once the next call is out.
           if (call.read() != null) {
             return call;
@@ -46,11 +46,11 @@
 
   private static void assertGoesTo(ScriptedListener upstream, String id, InetSocketAddress node)
       throws Exception {
-    try (HttpPeer caller = HttpPeer.to(node)) {
-      caller.write(ProxyFixture.get(id, "15"));
+    try (HttpPeer caller = HttpPeer.connect(node)) {
+      caller.write(ProxyFixture.idempotentRequest(id, "15"));
       HttpPeer taker = upstream.accept();
       assertEquals(id, taker.read().header("X-Txn"));
-      taker.write(ProxyFixture.ok(id));
+      taker.write(ProxyFixture.okResponse(id));
       assertEquals(id, caller.read().body());
     }
   }
@@ -61,29 +61,29 @@
     try (ProxyFixture stage = new ProxyFixture(2);
         ScriptedListener second = new ScriptedListener()) {
       stage.registryMode = "automatic";
-      stage.sockets = LIMIT;
+      stage.maxDescriptors = LIMIT;
       String[] up = new String[2];
       String[] draining = new String[2];
       for (int i = 0; i < 2; i++) {
-        up[i] = ProxyFixture.entry(i, stage.upstreams.get(i).address(), "up");
-        draining[i] = ProxyFixture.entry(i, stage.upstreams.get(i).address(), "draining");
+        up[i] = ProxyFixture.endpointEntry(i, stage.upstreams.get(i).address(), "up");
+        draining[i] = ProxyFixture.endpointEntry(i, stage.upstreams.get(i).address(), "draining");
       }
       try (ProxyProcess node = ProxyProcess.startInShell(stage, "ulimit -n " + LIMIT + "; exec")) {
         node.connect().close();
         // While discovery is silent they come, and wait for each other to go.
         idle.addAll(crowd(node.address));
-        assertTrue(idle.get(0).ended());
+        assertTrue(idle.get(0).isClosedByPeer());
         idle.addAll(crowd(node.address));
-        HttpPeer watch = tell(stage.discovery, ProxyFixture.roster(42, false, draining[0]));
+        HttpPeer watch = tell(stage.discovery, ProxyFixture.endpointList(42, false, draining[0]));
         assertGoesTo(stage.upstreams.get(1), "first", node.address);
         // A new watch while the old one is still open on the other side.
         watch.reset();
         idle.addAll(crowd(node.address));
-        tell(stage.discovery, ProxyFixture.roster(43, false, up[0], draining[1]));
+        tell(stage.discovery, ProxyFixture.endpointList(43, false, up[0], draining[1]));
         assertGoesTo(stage.upstreams.get(0), "second", node.address);
         node.reload(node.config.replace(stage.discovery.address(), second.address()));
         idle.addAll(crowd(node.address));
-        tell(second, ProxyFixture.roster(7, true, draining[0], up[1]));
+        tell(second, ProxyFixture.endpointList(7, true, draining[0], up[1]));
         assertGoesTo(stage.upstreams.get(1), "third", node.address);
       }
     } finally {
--- a/src/test/java/loadbalancer/proxy/FullBacklogListener.java
+++ b/src/test/java/loadbalancer/proxy/FullBacklogListener.java
@@ -33,12 +33,12 @@
   }
 
   /** Lets those in that fill the queue, then the next one that is none of them. */
-  public HttpPeer acceptLast() throws Exception {
+  public HttpPeer acceptAfterBacklog() throws Exception {
     List<Integer> own = new ArrayList<>();
     for (SocketChannel channel : filling) {
       own.add(((InetSocketAddress) channel.getLocalAddress()).getPort());
     }
-    server.setSoTimeout(HttpPeer.PATIENCE_MS);
+    server.setSoTimeout(HttpPeer.TIMEOUT_MILLIS);
     HttpPeer next = new HttpPeer(server.accept());
     while (own.contains(next.socket.getPort())) {
       next.close();
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -25,7 +25,7 @@
     try (BufferedReader error = process.errorReader()) {
       assertEquals(1, error.lines().filter(line -> !line.isBlank()).count());
     }
-    assertTrue(process.waitFor(HttpPeer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+    assertTrue(process.waitFor(HttpPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     assertEquals(status, process.exitValue());
   }
 
@@ -62,36 +62,36 @@
     try (ProxyFixture stage = new ProxyFixture();
         ProxyProcess node = ProxyProcess.start(stage)) {
       HttpPeer taken = node.connect();
-      HttpPeer idle = HttpPeer.to(node.address);
+      HttpPeer idle = HttpPeer.connect(node.address);
       idle.write(HEALTH);
       assertEquals("keep-alive", idle.read().headers().getOrDefault("connection", "keep-alive"));
-      taken.write(ProxyFixture.get("taken", "10"));
+      taken.write(ProxyFixture.idempotentRequest("taken", "10"));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
       node.process.destroy();
       // A second one, and a new configuration just then, change nothing.
       node.process.destroy();
       node.hangUp();
-      idle.write(ProxyFixture.get("reused", "10"));
+      idle.write(ProxyFixture.idempotentRequest("reused", "10"));
       HttpPeer second = stage.upstreams.get(0).accept();
       second.read();
       // A late caller, one on a connection that it had, and the one that was taken before.
       HttpPeer.Message late = null;
       while (late == null || late.header("Connection") == null) {
         // Callers are asked to leave only when the time for the last answers begins.
-        HttpPeer caller = HttpPeer.to(node.address);
+        HttpPeer caller = HttpPeer.connect(node.address);
         caller.write(HEALTH);
         late = caller.read();
         assertEquals(200, late.status());
       }
-      second.write(ProxyFixture.ok("reused"));
+      second.write(ProxyFixture.okResponse("reused"));
       HttpPeer.Message reused = idle.read();
       assertEquals("reused", reused.body());
       assertEquals("close", reused.header("Connection"));
-      assertTrue(idle.ended());
-      upstream.write(ProxyFixture.ok("taken"));
+      assertTrue(idle.isClosedByPeer());
+      upstream.write(ProxyFixture.okResponse("taken"));
       assertEquals("taken", taken.read().body());
-      assertTrue(node.process.waitFor(HttpPeer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+      assertTrue(node.process.waitFor(HttpPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     }
   }
 
@@ -107,7 +107,7 @@
       assertTrue(
           node.process.errorReader().lines().anyMatch(line -> line.contains("stays as it was")));
       node.reload(node.config.replace(stage.discovery.address(), second.address()));
-      assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().first());
+      assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().startLine());
       caller.write(HEALTH);
       assertEquals(200, caller.read().status());
     }
@@ -128,7 +128,7 @@
         ProxyProcess node = ProxyProcess.startInShell(stage, "trap '' HUP; " + ahead)) {
       node.connect();
       node.reload(node.config.replace(stage.discovery.address(), second.address()));
-      assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().first());
+      assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().startLine());
     }
   }
 
@@ -139,12 +139,12 @@
           new Thread(
               () -> {
                 try {
-                  stage.node.drain();
+                  stage.server.drain();
                 } catch (InterruptedException e) {
                   Thread.currentThread().interrupt();
                 }
               });
-      HttpPeer caller = stage.caller();
+      HttpPeer caller = stage.connectClient();
       caller.write(HEALTH);
       caller.read();
       drain.start();
@@ -155,37 +155,39 @@
       caller.write(HEALTH);
       assertEquals("keep-alive", caller.read().headers().getOrDefault("connection", "keep-alive"));
       drain.join();
-      assertTrue(caller.ended());
+      assertTrue(caller.isClosedByPeer());
     }
   }
 
   @Test
   void whatADrainCannotFinishFailsBeforeItIsKilled() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("1", "x"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("1", "x"));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
-      stage.node.drain();
+      stage.server.drain();
       assertEquals(504, caller.read().status());
-      assertTrue(upstream.ended());
+      assertTrue(upstream.isClosedByPeer());
     }
   }
 
   @Test
   void allThatHasComeByTheEndOfADrainIsAnswered() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
+      HttpPeer caller = stage.connectClient();
       caller.write(
-          ProxyFixture.spend("1", "x") + ProxyFixture.get("2", "10") + ProxyFixture.get("3", "10"));
+          ProxyFixture.atMostOnceRequest("1", "x")
+              + ProxyFixture.idempotentRequest("2", "10")
+              + ProxyFixture.idempotentRequest("3", "10"));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
-      HttpPeer half = stage.caller();
+      HttpPeer half = stage.connectClient();
       half.write("GET /look-up/7");
-      stage.node.onLoop(
+      stage.server.onLoop(
           (frontend, upstreams) -> {
             // Nobody could come to an end otherwise while the test puts the end here.
-            stage.node.end();
+            stage.server.end();
             return null;
           });
       assertEquals(504, caller.read().status());
@@ -194,42 +196,42 @@
       HttpPeer.Message last = caller.read();
       assertEquals(503, last.status());
       assertEquals("close", last.header("Connection"));
-      assertTrue(caller.ended());
+      assertTrue(caller.isClosedByPeer());
       assertEquals(408, half.read().status());
-      assertTrue(half.ended());
+      assertTrue(half.isClosedByPeer());
       // A connection that crosses the end is told so too.
-      HttpPeer late = stage.caller();
-      late.write(ProxyFixture.get("4", "10"));
+      HttpPeer late = stage.connectClient();
+      late.write(ProxyFixture.idempotentRequest("4", "10"));
       assertEquals(503, late.read().status());
-      assertEquals(0, stage.upstreams.get(0).waiting());
+      assertEquals(0, stage.upstreams.get(0).pendingConnections());
     }
   }
 
   @Test
   void aRequestThatLiesUnreadInTheKernelAtTheEndOfADrainIsAnswered() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer kept = stage.caller();
+      HttpPeer kept = stage.connectClient();
       kept.write(HEALTH);
       kept.read();
       HttpPeer[] unread = {kept, null};
-      stage.node.onLoop(
+      stage.server.onLoop(
           (frontend, upstreams) -> {
             try {
               // The node reads neither before its end begins.
-              kept.write(ProxyFixture.get("1", "10"));
-              unread[1] = stage.caller();
-              unread[1].write(ProxyFixture.get("2", "10"));
+              kept.write(ProxyFixture.idempotentRequest("1", "10"));
+              unread[1] = stage.connectClient();
+              unread[1].write(ProxyFixture.idempotentRequest("2", "10"));
             } catch (IOException e) {
               throw new java.io.UncheckedIOException(e);
             }
-            stage.node.end();
+            stage.server.end();
             return null;
           });
       for (HttpPeer caller : unread) {
         HttpPeer.Message answer = caller.read();
         assertEquals(503, answer.status());
         assertEquals("close", answer.header("Connection"));
-        assertTrue(caller.ended());
+        assertTrue(caller.isClosedByPeer());
       }
     }
   }
@@ -250,15 +252,15 @@
   @Test
   void aDrainDoesNotCloseAConnectionWithARequestInIt() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
+      HttpPeer caller = stage.connectClient();
       caller.write(HEALTH);
       caller.read();
-      caller.write(ProxyFixture.get("1", "10"));
+      caller.write(ProxyFixture.idempotentRequest("1", "10"));
       // The request lies in the kernel or is at work; either way it must not be lost.
-      assertFalse(stage.node.endDrain());
+      assertFalse(stage.server.endDrain());
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
-      upstream.write(ProxyFixture.ok("kept"));
+      upstream.write(ProxyFixture.okResponse("kept"));
       assertEquals("kept", caller.read().body());
     }
   }
--- a/src/test/java/loadbalancer/proxy/HttpPeer.java
+++ b/src/test/java/loadbalancer/proxy/HttpPeer.java
@@ -14,10 +14,10 @@
 public final class HttpPeer implements AutoCloseable {
 
   /** A message as it came: its first line, its headers by lower-case name, its body. */
-  public record Message(String first, Map<String, String> headers, String body) {
+  public record Message(String startLine, Map<String, String> headers, String body) {
 
     public int status() {
-      return Integer.parseInt(first.split(" ")[1]);
+      return Integer.parseInt(startLine.split(" ")[1]);
     }
 
     public String header(String name) {
@@ -25,27 +25,28 @@
     }
   }
 
-  public static final int PATIENCE_MS = 20_000;
+  public static final int TIMEOUT_MILLIS = 20_000;
 
   public final Socket socket;
   private final InputStream in;
 
   HttpPeer(Socket socket) throws IOException {
     this.socket = socket;
-    socket.setSoTimeout(PATIENCE_MS);
+    socket.setSoTimeout(TIMEOUT_MILLIS);
     socket.setTcpNoDelay(true);
     in = socket.getInputStream();
   }
 
-  public static HttpPeer to(InetSocketAddress address) throws IOException {
+  public static HttpPeer connect(InetSocketAddress address) throws IOException {
     return new HttpPeer(new Socket(InetAddress.getLoopbackAddress(), address.getPort()));
   }
 
   /** Connects as soon as the process serves. */
-  static HttpPeer toServing(InetSocketAddress address, Process process) throws IOException {
+  static HttpPeer connectWhenServing(InetSocketAddress address, Process process)
+      throws IOException {
     while (true) {
       try {
-        HttpPeer peer = to(address);
+        HttpPeer peer = connect(address);
         peer.write("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
         if (peer.read().status() != 200) {
           throw new AssertionError("not healthy");
@@ -81,12 +82,12 @@
   }
 
   /** How many bytes have come that were not read yet. */
-  public int unread() throws IOException {
+  public int unreadBytes() throws IOException {
     return in.available();
   }
 
   /** Whether the other side has ended the connection; waits for that. */
-  public boolean ended() {
+  public boolean isClosedByPeer() {
     try {
       return in.read() < 0;
     } catch (java.net.SocketTimeoutException e) {
--- a/src/test/java/loadbalancer/proxy/LateEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/LateEventLoopTest.java
@@ -46,7 +46,7 @@
 
   /** Does something while the loop can do nothing else. */
   private static void keepBusy(ProxyFixture stage, Job job) throws Exception {
-    stage.node.onLoop(
+    stage.server.onLoop(
         (frontend, upstreams) -> {
           try {
             job.run();
@@ -59,16 +59,16 @@
 
   /** Starts a node with a watch that its discovery has yet to answer. */
   private static HttpPeer startWatching(ProxyFixture stage) throws Exception {
-    stage.script.onStart = () -> stage.script.actions.watchEndpoints(true);
+    stage.policy.onStart = () -> stage.policy.actions.watchEndpoints(true);
     stage.start();
-    assertEquals(EndpointUpdateType.CACHED, ScriptedPolicy.next(stage.script.changes));
+    assertEquals(EndpointUpdateType.CACHED, ScriptedPolicy.takeNext(stage.policy.updates));
     HttpPeer watch = stage.discovery.accept();
     watch.read();
     return watch;
   }
 
   private static HttpPeer healthyCaller(ProxyFixture stage) throws Exception {
-    HttpPeer caller = stage.caller();
+    HttpPeer caller = stage.connectClient();
     caller.write("GET /_health HTTP/1.1\r\n\r\n");
     caller.read();
     return caller;
@@ -80,26 +80,27 @@
       HttpPeer watch = startWatching(stage);
       HttpPeer caller = healthyCaller(stage);
       LinkedBlockingQueue<Integer> newsAtRequest = new LinkedBlockingQueue<>();
-      stage.script.onRequest =
+      stage.policy.onRequest =
           request -> {
-            newsAtRequest.add(stage.script.changes.size());
-            stage.script.sendTo(1, request, 0);
+            newsAtRequest.add(stage.policy.updates.size());
+            stage.policy.sendTo(1, request, 0);
           };
       keepBusy(
           stage,
           () -> {
-            caller.write(ProxyFixture.get("1", "10"));
+            caller.write(ProxyFixture.idempotentRequest("1", "10"));
             watch.write(
-                ProxyFixture.ok(
-                    ProxyFixture.roster(
+                ProxyFixture.okResponse(
+                    ProxyFixture.endpointList(
                         42,
                         false,
-                        ProxyFixture.entry(0, stage.upstreams.get(0).address(), "draining"))));
+                        ProxyFixture.endpointEntry(
+                            0, stage.upstreams.get(0).address(), "draining"))));
             // Longer than the node lets pass between two looks at discovery.
             TimeUnit.MILLISECONDS.sleep(LATE_MS);
           });
       assertEquals(
-          1, ScriptedPolicy.next(newsAtRequest), "the request was decided on by the old list");
+          1, ScriptedPolicy.takeNext(newsAtRequest), "the request was decided on by the old list");
     }
   }
 
@@ -109,17 +110,17 @@
     try (ProxyFixture stage = new ProxyFixture().start()) {
       HttpPeer known = healthyCaller(stage);
       LinkedBlockingQueue<ClientRequest> requests = new LinkedBlockingQueue<>();
-      stage.script.onRequest = requests::add;
+      stage.policy.onRequest = requests::add;
       double[] writtenAt = new double[1];
       keepBusy(
           stage,
           () -> {
-            HttpPeer caller = kept ? known : stage.caller();
-            caller.write(ProxyFixture.get("1", "10"));
-            writtenAt[0] = stage.node.now();
+            HttpPeer caller = kept ? known : stage.connectClient();
+            caller.write(ProxyFixture.idempotentRequest("1", "10"));
+            writtenAt[0] = stage.server.now();
             TimeUnit.MILLISECONDS.sleep(LATE_MS);
           });
-      double deadline = ScriptedPolicy.next(requests).deadlineMillis();
+      double deadline = ScriptedPolicy.takeNext(requests).deadlineMillis();
       assertTrue(
           deadline <= writtenAt[0] + 10_000 + CLOCKS_MS,
           deadline - writtenAt[0] + " ms from when it was written");
@@ -131,11 +132,11 @@
     try (ProxyFixture stage = new ProxyFixture().start()) {
       HttpPeer caller = healthyCaller(stage);
       LinkedBlockingQueue<ClientRequest> requests = new LinkedBlockingQueue<>();
-      stage.script.onRequest = requests::add;
+      stage.policy.onRequest = requests::add;
       keepBusy(stage, () -> TimeUnit.MILLISECONDS.sleep(LATE_MS));
-      caller.write(ProxyFixture.get("1", "2"));
-      double written = stage.node.now();
-      double kept = written + 2_000 - ScriptedPolicy.next(requests).deadlineMillis();
+      caller.write(ProxyFixture.idempotentRequest("1", "2"));
+      double written = stage.server.now();
+      double kept = written + 2_000 - ScriptedPolicy.takeNext(requests).deadlineMillis();
       assertTrue(kept >= LATE_MS - CLOCKS_MS, kept + " ms");
     }
   }
@@ -189,7 +190,8 @@
     ProxyLogger.LOGGER.addHandler(log);
     try (ProxyFixture stage = new ProxyFixture().start()) {
       keepBusy(stage, () -> TimeUnit.MILLISECONDS.sleep(LATE_MS));
-      Matcher told = Pattern.compile(" and (\\d+) ms at most").matcher(ScriptedPolicy.next(lines));
+      Matcher told =
+          Pattern.compile(" and (\\d+) ms at most").matcher(ScriptedPolicy.takeNext(lines));
       assertTrue(told.find());
       assertTrue(Integer.parseInt(told.group(1)) >= LATE_MS - CLOCKS_MS, told.group());
     } finally {
@@ -201,31 +203,32 @@
   void theGraceOfADrainRunsWhileItsNewsLiesUnread() throws Exception {
     try (ProxyFixture stage = new ProxyFixture();
         FullBacklogListener full = new FullBacklogListener()) {
-      stage.connectTimeout = 15_000;
+      stage.connectTimeoutMillis = 15_000;
       // Half of it is left to what waits for its connection, and the news lies unread for longer.
-      stage.drainGrace = LATE_MS;
+      stage.drainGraceMillis = LATE_MS;
       HttpPeer watch = startWatching(stage);
       watch.write(
-          ProxyFixture.ok(
-              ProxyFixture.roster(42, true, ProxyFixture.entry(9, full.address(), "up"))));
-      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.next(stage.script.changes));
+          ProxyFixture.okResponse(
+              ProxyFixture.endpointList(
+                  42, true, ProxyFixture.endpointEntry(9, full.address(), "up"))));
+      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
       watch.read();
       HttpPeer caller = healthyCaller(stage);
-      caller.write(ProxyFixture.spend("1", "x"));
+      caller.write(ProxyFixture.atMostOnceRequest("1", "x"));
       healthyCaller(stage);
       HttpPeer[] late = new HttpPeer[1];
       keepBusy(
           stage,
           () -> {
             watch.write(
-                ProxyFixture.ok(
-                    ProxyFixture.roster(
-                        43, false, ProxyFixture.entry(9, full.address(), "draining"))));
-            late[0] = full.acceptLast();
+                ProxyFixture.okResponse(
+                    ProxyFixture.endpointList(
+                        43, false, ProxyFixture.endpointEntry(9, full.address(), "draining"))));
+            late[0] = full.acceptAfterBacklog();
             TimeUnit.MILLISECONDS.sleep(LATE_MS);
           });
-      assertTrue(late[0].ended(), "the request was written after the grace");
-      assertEquals(AttemptOutcome.CONNECT_FAILED, stage.script.result());
+      assertTrue(late[0].isClosedByPeer(), "the request was written after the grace");
+      assertEquals(AttemptOutcome.CONNECT_FAILED, stage.policy.nextOutcome());
       late[0].close();
     }
   }
--- a/src/test/java/loadbalancer/proxy/ProxyFixture.java
+++ b/src/test/java/loadbalancer/proxy/ProxyFixture.java
@@ -16,27 +16,27 @@
  */
 public final class ProxyFixture implements AutoCloseable {
 
-  public final ScriptedPolicy script = new ScriptedPolicy();
+  public final ScriptedPolicy policy = new ScriptedPolicy();
   public final ScriptedListener discovery = new ScriptedListener();
   public final List<ScriptedListener> upstreams = new ArrayList<>();
-  private final List<HttpPeer> callers = new ArrayList<>();
+  private final List<HttpPeer> clients = new ArrayList<>();
 
   /** Settings that a test may change before it starts the node. */
-  public int sockets = 1_024;
+  public int maxDescriptors = 1_024;
 
-  public int connectTimeout = 3_000;
-  public int drainGrace = 2_000;
+  public int connectTimeoutMillis = 3_000;
+  public int drainGraceMillis = 2_000;
 
   /**
    * How many of the upstreams, the first, are in the node's own zone; the others are of another
    * type.
    */
-  int atHome = Integer.MAX_VALUE;
+  int endpointsInOwnZone = Integer.MAX_VALUE;
 
   /** How many of them the node knows from its start. */
-  public int listed = Integer.MAX_VALUE;
+  public int knownEndpoints = Integer.MAX_VALUE;
 
-  public int askEvery = 1_000;
+  public int pollIntervalMillis = 1_000;
   public int maxAttempts = 4;
 
   /** The tier that it sends to; clients arrive at the first, 0. */
@@ -46,16 +46,16 @@
   public String registryMode = "subscribe";
 
   /** How long the node waits for discovery's first answer before it lets callers in. */
-  public long firstNews = ProxyServer.FIRST_NEWS_MS;
+  public long firstUpdateTimeoutMillis = ProxyServer.FIRST_NEWS_MS;
 
   /**
    * How long a connection to an upstream rests between two requests, in ms; none, so that one will
    * do.
    */
-  public double settle;
+  public double settleMillis;
 
   /** What a test changes of the configuration beyond that. */
-  public UnaryOperator<String> edit = config -> config;
+  public UnaryOperator<String> configEdit = config -> config;
 
   /** What its random numbers begin with. */
   public String seed = "8c1f30d27a5be964";
@@ -63,7 +63,7 @@
   /** The aim of the class that must never run twice. */
   String aim = "\"aim\":1500.0";
 
-  public ProxyServer node;
+  public ProxyServer server;
 
   public ProxyFixture() throws IOException {
     this(1);
@@ -77,43 +77,44 @@
 
   /** Starts the node with the scripted module. */
   public ProxyFixture start() throws Exception {
-    return start(script::with);
+    return start(policy::attach);
   }
 
   public ProxyFixture start(Function<PolicyActions, LoadBalancingPolicy> module) throws Exception {
     Path file = Files.createTempFile("node", ".json");
     try {
-      Files.writeString(file, edit.apply(config()));
-      node = ProxyServer.prepare(ProxyConfig.read(file.toString()), module, firstNews);
-      node.onLoop(
+      Files.writeString(file, configEdit.apply(config()));
+      server =
+          ProxyServer.prepare(ProxyConfig.read(file.toString()), module, firstUpdateTimeoutMillis);
+      server.onLoop(
           (frontend, upstreams) -> {
-            upstreams.settleFor(settle);
+            upstreams.settleFor(settleMillis);
             return null;
           });
-      node.serve();
+      server.serve();
     } finally {
       Files.delete(file);
     }
     return this;
   }
 
-  public static String entry(int number, String address, String state) {
+  public static String endpointEntry(int number, String address, String state) {
     return """
                 {"id":"s-%08x","addr":"%s","zone":"dakar-a","kind":"front-mid","cell":%d,"state":"%s",
                  "weight":1.0,"started_ms":0}"""
         .formatted(number, address, number, state);
   }
 
-  public static String roster(long version, boolean full, String... entries) {
+  public static String endpointList(long version, boolean full, String... entries) {
     return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}"
         .formatted(version, full, String.join(",", entries));
   }
 
   public String config() {
-    String[] entries = new String[Math.min(listed, upstreams.size())];
+    String[] entries = new String[Math.min(knownEndpoints, upstreams.size())];
     for (int i = 0; i < entries.length; i++) {
-      entries[i] = entry(i, upstreams.get(i).address(), "up");
-      if (i >= atHome) {
+      entries[i] = endpointEntry(i, upstreams.get(i).address(), "up");
+      if (i >= endpointsInOwnZone) {
         entries[i] = entries[i].replace("dakar-a", "thies-b").replace("front-mid", "front-slow");
       }
     }
@@ -145,26 +146,26 @@
         .formatted(
             discovery.address(),
             seed,
-            sockets,
-            roster(41, true, entries),
+            maxDescriptors,
+            endpointList(41, true, entries),
             tier,
             registryMode,
             maxAttempts,
-            connectTimeout,
-            drainGrace,
-            askEvery)
+            connectTimeoutMillis,
+            drainGraceMillis,
+            pollIntervalMillis)
         .replace("\"aim\":1500.0", aim);
   }
 
   /** A new connection of a caller. */
-  public HttpPeer caller() throws IOException {
-    HttpPeer caller = HttpPeer.to(node.address());
-    callers.add(caller);
+  public HttpPeer connectClient() throws IOException {
+    HttpPeer caller = HttpPeer.connect(server.address());
+    clients.add(caller);
     return caller;
   }
 
   /** A request of the class that is safe to repeat. */
-  public static String get(String id, String remaining) {
+  public static String idempotentRequest(String id, String remaining) {
     return "GET /look-up/7?z=3 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: "
         + id
         + "\r\nX-Lane: look-up\r\nX-Remaining: "
@@ -173,7 +174,7 @@
   }
 
   /** A request of the class that must never run twice. */
-  public static String spend(String id, String body) {
+  public static String atMostOnceRequest(String id, String body) {
     return "POST /credit-spend HTTP/1.1\r\nHost: app.svc\r\nX-Txn: "
         + id
         + "\r\nX-Lane: credit-spend\r\nX-Remaining: 10\r\nContent-Length: "
@@ -182,17 +183,17 @@
         + body;
   }
 
-  public static String ok(String body) {
+  public static String okResponse(String body) {
     return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
   }
 
   /** Serves a request and asserts that the caller has its answer: the node is well. */
-  public void servesStill() throws Exception {
-    HttpPeer caller = caller();
-    caller.write(get("still", "10"));
+  public void assertStillServes() throws Exception {
+    HttpPeer caller = connectClient();
+    caller.write(idempotentRequest("still", "10"));
     HttpPeer upstream = upstreams.get(0).accept();
     upstream.read();
-    upstream.write(ok("well"));
+    upstream.write(okResponse("well"));
     HttpPeer.Message answer = caller.read();
     if (answer == null || answer.status() != 200 || !answer.body().equals("well")) {
       throw new AssertionError("not served: " + answer);
@@ -201,11 +202,11 @@
 
   @Override
   public void close() throws IOException {
-    for (HttpPeer caller : callers) {
+    for (HttpPeer caller : clients) {
       caller.close();
     }
-    if (node != null) {
-      node.kill();
+    if (server != null) {
+      server.kill();
     }
     for (ScriptedListener upstream : upstreams) {
       upstream.close();
--- a/src/test/java/loadbalancer/proxy/ProxyProcess.java
+++ b/src/test/java/loadbalancer/proxy/ProxyProcess.java
@@ -77,7 +77,7 @@
 
   /** A connection to it, on which it has said that it serves. */
   HttpPeer connect() throws IOException {
-    return HttpPeer.toServing(address, process);
+    return HttpPeer.connectWhenServing(address, process);
   }
 
   /** Replaces its configuration and tells it so. */
--- a/src/test/java/loadbalancer/proxy/ScriptedListener.java
+++ b/src/test/java/loadbalancer/proxy/ScriptedListener.java
@@ -47,7 +47,7 @@
 
   /** The next connection; fails the test if none comes. */
   public HttpPeer accept() throws InterruptedException {
-    HttpPeer peer = accepted.poll(HttpPeer.PATIENCE_MS, TimeUnit.MILLISECONDS);
+    HttpPeer peer = accepted.poll(HttpPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     if (peer == null) {
       throw new AssertionError("no connection came");
     }
@@ -55,7 +55,7 @@
   }
 
   /** How many connections have come that the test has not looked at. */
-  public int waiting() {
+  public int pendingConnections() {
     return accepted.size();
   }
 
--- a/src/test/java/loadbalancer/proxy/ScriptedPolicy.java
+++ b/src/test/java/loadbalancer/proxy/ScriptedPolicy.java
@@ -18,47 +18,47 @@
 public final class ScriptedPolicy implements LoadBalancingPolicy {
 
   public PolicyActions actions;
-  public volatile List<Endpoint> upstreams = List.of();
+  public volatile List<Endpoint> endpoints = List.of();
 
   /** What to do with a request; by default it goes to the first upstream until its deadline. */
   public volatile Consumer<ClientRequest> onRequest = request -> sendTo(0, request, 0);
 
-  public volatile Consumer<AttemptResult> onOutcome = outcome -> {};
+  public volatile Consumer<AttemptResult> onResult = outcome -> {};
 
   /** What to do with an outcome that leaves its request open; by default it fails. */
-  public volatile BiConsumer<PolicyActions, AttemptResult> onOpen =
+  public volatile BiConsumer<PolicyActions, AttemptResult> onUnansweredResult =
       (to, outcome) -> to.failRequest(outcome.requestId());
 
   /** What to do with news; by default no more than remember it. */
-  public volatile Consumer<EndpointUpdateType> onNews = change -> {};
+  public volatile Consumer<EndpointUpdateType> onUpdate = change -> {};
 
   public volatile Runnable onTimer = () -> {};
   public volatile Runnable onStart = () -> {};
-  public final LinkedBlockingQueue<AttemptResult> outcomes = new LinkedBlockingQueue<>();
-  public final LinkedBlockingQueue<EndpointUpdateType> changes = new LinkedBlockingQueue<>();
-  public final LinkedBlockingQueue<Long> gone = new LinkedBlockingQueue<>();
-  public final LinkedBlockingQueue<String> probes = new LinkedBlockingQueue<>();
+  public final LinkedBlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
+  public final LinkedBlockingQueue<EndpointUpdateType> updates = new LinkedBlockingQueue<>();
+  public final LinkedBlockingQueue<Long> disconnected = new LinkedBlockingQueue<>();
+  public final LinkedBlockingQueue<String> healthChecks = new LinkedBlockingQueue<>();
 
-  LoadBalancingPolicy with(PolicyActions given) {
+  LoadBalancingPolicy attach(PolicyActions given) {
     actions = given;
     return this;
   }
 
   /** Sends a request to an upstream by its place in the list. */
   public void sendTo(int place, ClientRequest request, double timeout) {
-    actions.sendAttempt(request.id(), upstreams.get(place).id(), timeout);
+    actions.sendAttempt(request.id(), endpoints.get(place).id(), timeout);
   }
 
-  public static <T> T next(LinkedBlockingQueue<T> queue) throws InterruptedException {
-    T item = queue.poll(HttpPeer.PATIENCE_MS, TimeUnit.MILLISECONDS);
+  public static <T> T takeNext(LinkedBlockingQueue<T> queue) throws InterruptedException {
+    T item = queue.poll(HttpPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     if (item == null) {
       throw new AssertionError("nothing came");
     }
     return item;
   }
 
-  public AttemptOutcome result() throws InterruptedException {
-    return next(outcomes).outcome();
+  public AttemptOutcome nextOutcome() throws InterruptedException {
+    return takeNext(results).outcome();
   }
 
   @Override
@@ -69,10 +69,10 @@
   @Override
   public void endpointsChanged(double now, EndpointUpdateType change, List<Endpoint> list) {
     if (change == EndpointUpdateType.CACHED || change == EndpointUpdateType.FULL) {
-      upstreams = list;
+      endpoints = list;
     }
-    changes.add(change);
-    onNews.accept(change);
+    updates.add(change);
+    onUpdate.accept(change);
   }
 
   @Override
@@ -82,10 +82,10 @@
 
   @Override
   public void attemptFinished(double now, AttemptResult outcome) {
-    outcomes.add(outcome);
-    onOutcome.accept(outcome);
+    results.add(outcome);
+    onResult.accept(outcome);
     if (!outcome.requestClosed()) {
-      onOpen.accept(actions, outcome);
+      onUnansweredResult.accept(actions, outcome);
     }
   }
 
@@ -96,7 +96,7 @@
 
   @Override
   public void clientDisconnected(double now, long requestId) {
-    gone.add(requestId);
+    disconnected.add(requestId);
   }
 
   @Override
@@ -107,6 +107,6 @@
   @Override
   public void healthCheckCompleted(
       double now, long upstream, AttemptOutcome result, double elapsed, double[] report) {
-    probes.add(result + " " + java.util.Arrays.toString(report));
+    healthChecks.add(result + " " + java.util.Arrays.toString(report));
   }
 }
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -32,7 +32,7 @@
         ProxyProcess node =
             ProxyProcess.start(
                 stage, "-Xlog:class+load:file=" + log + ":none", "-Dio.netty.jfr.enabled=false")) {
-      stage.discovery.accept().write(ProxyFixture.ok(ProxyFixture.roster(42, false)));
+      stage.discovery.accept().write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
       node.connect().close();
       node.process.destroyForcibly().waitFor();
       try (Stream<String> lines = Files.lines(log)) {
@@ -90,7 +90,7 @@
     }
     Process ending = writer(part, "printf whole >> \"$0\"; exit 143");
     try {
-      ClassArchiveRecorder.keep(ending, part, archive, Duration.ofMillis(HttpPeer.PATIENCE_MS));
+      ClassArchiveRecorder.keep(ending, part, archive, Duration.ofMillis(HttpPeer.TIMEOUT_MILLIS));
       assertEquals("halfwhole", Files.readString(archive));
       assertFalse(Files.exists(part));
     } finally {
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -48,17 +48,17 @@
   private final ProxyFixture stage = new ProxyFixture();
 
   DiscoveryClientTest() throws IOException {
-    stage.script.onStart = () -> stage.script.actions.watchEndpoints(true);
+    stage.policy.onStart = () -> stage.policy.actions.watchEndpoints(true);
   }
 
   private void started() throws Exception {
     stage.start();
-    assertEquals(EndpointUpdateType.CACHED, ScriptedPolicy.next(stage.script.changes));
+    assertEquals(EndpointUpdateType.CACHED, ScriptedPolicy.takeNext(stage.policy.updates));
   }
 
   /** Reads a watch's call, which goes on from the given version; how long it is to wait, in ms. */
   private static int assertWatches(long version, HttpPeer watch) throws IOException {
-    Matcher call = WATCH.matcher(watch.read().first());
+    Matcher call = WATCH.matcher(watch.read().startLine());
     assertTrue(call.matches());
     assertEquals(version, Long.parseLong(call.group("version")));
     return Integer.parseInt(call.group("wait"));
@@ -71,17 +71,19 @@
       HttpPeer watch = stage.discovery.accept();
       assertWatches(41, watch);
       watch.write(
-          ProxyFixture.ok(
-              ProxyFixture.roster(45, false, ProxyFixture.entry(0, "127.0.0.1:1", "draining"))));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.next(stage.script.changes));
+          ProxyFixture.okResponse(
+              ProxyFixture.endpointList(
+                  45, false, ProxyFixture.endpointEntry(0, "127.0.0.1:1", "draining"))));
+      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(stage.policy.updates));
       assertWatches(45, watch);
-      watch.write(ProxyFixture.ok(ProxyFixture.roster(46, false)));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.next(stage.script.changes));
+      watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(46, false)));
+      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(stage.policy.updates));
       assertWatches(46, watch);
       watch.write(
-          ProxyFixture.ok(
-              ProxyFixture.roster(47, false, "{\"id\":\"s-00000000\",\"state\":\"removed\"}")));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.next(stage.script.changes));
+          ProxyFixture.okResponse(
+              ProxyFixture.endpointList(
+                  47, false, "{\"id\":\"s-00000000\",\"state\":\"removed\"}")));
+      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(stage.policy.updates));
       assertWatches(47, watch);
     }
   }
@@ -94,17 +96,19 @@
       HttpPeer watch = stage.discovery.accept();
       assertWatches(41, watch);
       watch.write(
-          ProxyFixture.ok(
-              ProxyFixture.roster(
-                  42, false, ProxyFixture.entry(0, stage.upstreams.get(0).address(), "draining"))));
+          ProxyFixture.okResponse(
+              ProxyFixture.endpointList(
+                  42,
+                  false,
+                  ProxyFixture.endpointEntry(0, stage.upstreams.get(0).address(), "draining"))));
       // It has been taken in once the next call is out, and is asked for again after a failure.
       assertWatches(42, watch);
       watch.reset();
       assertWatches(42, stage.discovery.accept());
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("drained", "0.5"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("drained", "0.5"));
       assertEquals(503, caller.read().status());
-      assertEquals(0, stage.upstreams.get(0).waiting());
+      assertEquals(0, stage.upstreams.get(0).pendingConnections());
     }
   }
 
@@ -112,31 +116,31 @@
   void aSilentWatchIsBegunAnewOnceTheServersItNamedTakeNothing() throws Exception {
     try (ProxyFixture two = new ProxyFixture(2)) {
       two.upstreams.get(0).close();
-      two.listed = 1;
-      two.askEvery = 0;
+      two.knownEndpoints = 1;
+      two.pollIntervalMillis = 0;
       two.maxAttempts = 3;
       two.start(LatencyWeightedPolicy::new);
       HttpPeer silent = two.discovery.accept();
       assertWatches(41, silent);
-      HttpPeer caller = two.caller();
-      caller.write(ProxyFixture.get("d1", "5"));
+      HttpPeer caller = two.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("d1", "5"));
       assertEquals(503, caller.read().status());
       // Nobody waits for the old one any more, and what it missed is asked for.
       HttpPeer watch = two.discovery.accept();
       assertWatches(41, watch);
-      assertTrue(silent.ended());
+      assertTrue(silent.isClosedByPeer());
       watch.write(
-          ProxyFixture.ok(
-              ProxyFixture.roster(
+          ProxyFixture.okResponse(
+              ProxyFixture.endpointList(
                   42,
                   false,
                   "{\"id\":\"s-00000000\",\"state\":\"removed\"}",
-                  ProxyFixture.entry(1, two.upstreams.get(1).address(), "up"))));
+                  ProxyFixture.endpointEntry(1, two.upstreams.get(1).address(), "up"))));
       assertWatches(42, watch);
-      caller.write(ProxyFixture.get("d2", "5"));
+      caller.write(ProxyFixture.idempotentRequest("d2", "5"));
       HttpPeer upstream = two.upstreams.get(1).accept();
       upstream.read();
-      upstream.write(ProxyFixture.ok("served"));
+      upstream.write(ProxyFixture.okResponse("served"));
       assertEquals(200, caller.read().status());
     }
   }
@@ -159,16 +163,16 @@
       watch.read();
       watch.write(answer);
       watch.close();
-      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.next(stage.script.changes));
-      stage.servesStill();
+      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(stage.policy.updates));
+      stage.assertStillServes();
       // One failure for one call, and the module can ask again from where it was.
-      assertTrue(stage.script.changes.isEmpty());
-      stage.script.onRequest =
+      assertTrue(stage.policy.updates.isEmpty());
+      stage.policy.onRequest =
           request -> {
-            stage.script.actions.reject(request.id(), 0);
-            stage.script.actions.watchEndpoints(true);
+            stage.policy.actions.reject(request.id(), 0);
+            stage.policy.actions.watchEndpoints(true);
           };
-      stage.caller().write(ProxyFixture.get("again", "10"));
+      stage.connectClient().write(ProxyFixture.idempotentRequest("again", "10"));
       assertWatches(41, stage.discovery.accept());
     }
   }
@@ -176,33 +180,34 @@
   @Test
   void aListThatBreaksOffLeavesAllSixtyUpstreamsInUse() throws Exception {
     try (ProxyFixture many = new ProxyFixture(60)) {
-      many.script.onStart = () -> many.script.actions.watchEndpoints(true);
+      many.policy.onStart = () -> many.policy.actions.watchEndpoints(true);
       many.start();
-      assertEquals(EndpointUpdateType.CACHED, ScriptedPolicy.next(many.script.changes));
+      assertEquals(EndpointUpdateType.CACHED, ScriptedPolicy.takeNext(many.policy.updates));
       HttpPeer watch = many.discovery.accept();
       watch.read();
       String fewer =
-          ProxyFixture.ok(
-              ProxyFixture.roster(
+          ProxyFixture.okResponse(
+              ProxyFixture.endpointList(
                   42,
                   true,
                   IntStream.range(0, 24)
-                      .mapToObj(i -> ProxyFixture.entry(i, many.upstreams.get(i).address(), "up"))
+                      .mapToObj(
+                          i -> ProxyFixture.endpointEntry(i, many.upstreams.get(i).address(), "up"))
                       .toArray(String[]::new)));
       watch.write(fewer.substring(0, fewer.length() / 2));
       watch.close();
-      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.next(many.script.changes));
-      HttpPeer caller = many.caller();
+      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(many.policy.updates));
+      HttpPeer caller = many.connectClient();
       for (int i = 0; i < 60; i++) {
         int place = i;
-        many.script.onRequest = request -> many.script.sendTo(place, request, 0);
-        caller.write(ProxyFixture.get("still" + i, "10"));
+        many.policy.onRequest = request -> many.policy.sendTo(place, request, 0);
+        caller.write(ProxyFixture.idempotentRequest("still" + i, "10"));
         HttpPeer upstream = many.upstreams.get(i).accept();
         upstream.read();
-        upstream.write(ProxyFixture.ok("well"));
+        upstream.write(ProxyFixture.okResponse("well"));
         assertEquals(200, caller.read().status());
       }
-      assertTrue(many.script.changes.isEmpty());
+      assertTrue(many.policy.updates.isEmpty());
     }
   }
 
@@ -213,17 +218,17 @@
       HttpPeer watch = stage.discovery.accept();
       watch.read();
       String plain =
-          ProxyFixture.roster(
-              45, true, ProxyFixture.entry(0, stage.upstreams.get(0).address(), "up"));
+          ProxyFixture.endpointList(
+              45, true, ProxyFixture.endpointEntry(0, stage.upstreams.get(0).address(), "up"));
       watch.write(
-          ProxyFixture.ok(
+          ProxyFixture.okResponse(
               new JsonMapper()
                   .writerWithDefaultPrettyPrinter()
                   .writeValueAsString(new JsonMapper().readTree(plain))
                   .replace("\n", "\r\n\t")));
-      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.next(stage.script.changes));
+      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
       assertWatches(45, watch);
-      stage.servesStill();
+      stage.assertStillServes();
     }
   }
 
@@ -242,9 +247,9 @@
       } catch (IOException e) {
         // It is not listened to any more.
       }
-      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.next(stage.script.changes));
-      stage.servesStill();
-      assertTrue(stage.script.changes.isEmpty());
+      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(stage.policy.updates));
+      stage.assertStillServes();
+      assertTrue(stage.policy.updates.isEmpty());
     }
   }
 
@@ -253,7 +258,7 @@
     try (stage) {
       stage.discovery.close();
       started();
-      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.next(stage.script.changes));
+      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(stage.policy.updates));
     }
   }
 
@@ -321,8 +326,8 @@
       HttpPeer watch = stage.discovery.accept();
       int wait = assertWatches(41, watch);
       assertTrue(wait >= 50 && wait <= 100);
-      assertTrue(watch.ended());
-      assertEquals("FAILED", ScriptedPolicy.next(lone.told));
+      assertTrue(watch.isClosedByPeer());
+      assertEquals("FAILED", ScriptedPolicy.takeNext(lone.told));
     }
   }
 
@@ -334,15 +339,15 @@
       HttpPeer refused = stage.discovery.accept();
       refused.read();
       refused.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-      assertEquals("FAILED", ScriptedPolicy.next(lone.told));
+      assertEquals("FAILED", ScriptedPolicy.takeNext(lone.told));
       lone.watch(1_500);
       HttpPeer slow = stage.discovery.accept();
       slow.read();
       // Many others are served first; to give up now and ask again would only add to them.
-      assertEquals(Lone.LATE, ScriptedPolicy.next(lone.told));
-      String entry = ProxyFixture.entry(0, stage.upstreams.get(0).address(), "up");
-      slow.write(ProxyFixture.ok(ProxyFixture.roster(42, true, entry)));
-      assertEquals("FULL", ScriptedPolicy.next(lone.told));
+      assertEquals(Lone.LATE, ScriptedPolicy.takeNext(lone.told));
+      String entry = ProxyFixture.endpointEntry(0, stage.upstreams.get(0).address(), "up");
+      slow.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, true, entry)));
+      assertEquals("FULL", ScriptedPolicy.takeNext(lone.told));
     }
   }
 
@@ -350,31 +355,31 @@
   void aConnectionToDiscoveryThatNeverComesUpIsAFailureAfterASecond() throws Exception {
     try (stage;
         FullBacklogListener full = new FullBacklogListener();
-        Lone lone = new Lone(stage, full.address(), DiscoveryClient.WATCH_MS)) {
+        Lone lone = new Lone(stage, full.address(), DiscoveryClient.MAX_WATCH_MILLIS)) {
       lone.watch(TIME_UP_MS);
-      assertEquals("FAILED", ScriptedPolicy.next(lone.told));
+      assertEquals("FAILED", ScriptedPolicy.takeNext(lone.told));
     }
   }
 
   @Test
   void aCallThatFindsNoDescriptorFailsMakesRoomAndCanBeMadeAgain() throws Exception {
     try (stage;
-        Lone lone = new Lone(stage, stage.discovery.address(), DiscoveryClient.WATCH_MS)) {
+        Lone lone = new Lone(stage, stage.discovery.address(), DiscoveryClient.MAX_WATCH_MILLIS)) {
       lone.discovery.openBy(
           () -> {
             throw new ChannelException("made by a test");
           });
       for (int i = 0; i < 2; i++) {
         lone.watch(TIME_UP_MS);
-        assertEquals(Lone.ROOM, ScriptedPolicy.next(lone.told));
-        assertEquals("FAILED", ScriptedPolicy.next(lone.told));
+        assertEquals(Lone.ROOM, ScriptedPolicy.takeNext(lone.told));
+        assertEquals("FAILED", ScriptedPolicy.takeNext(lone.told));
       }
       lone.loop.execute(() -> lone.discovery.openBy(NioSocketChannel::new));
       lone.watch(TIME_UP_MS);
       HttpPeer watch = stage.discovery.accept();
       assertWatches(41, watch);
-      watch.write(ProxyFixture.ok(ProxyFixture.roster(42, false)));
-      assertEquals("DELTA", ScriptedPolicy.next(lone.told));
+      watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
+      assertEquals("DELTA", ScriptedPolicy.takeNext(lone.told));
     }
   }
 
@@ -394,26 +399,26 @@
       } catch (IOException e) {
         // It is not listened to any more.
       }
-      assertEquals("FAILED", ScriptedPolicy.next(lone.told));
+      assertEquals("FAILED", ScriptedPolicy.takeNext(lone.told));
     }
   }
 
   @Test
   void aCallAfterAFailureIsGivenUpAfterASecondWithNoAnswer() throws Exception {
     try (stage;
-        Lone lone = new Lone(stage, stage.discovery.address(), DiscoveryClient.WATCH_MS)) {
+        Lone lone = new Lone(stage, stage.discovery.address(), DiscoveryClient.MAX_WATCH_MILLIS)) {
       lone.watch(TIME_UP_MS);
       stage.discovery.accept().reset();
-      assertEquals("FAILED", ScriptedPolicy.next(lone.told));
+      assertEquals("FAILED", ScriptedPolicy.takeNext(lone.told));
       lone.watch(TIME_UP_MS);
       HttpPeer silent = stage.discovery.accept();
       // Were it to wait, it would show only after that that nobody answers.
       assertEquals(0, assertWatches(41, silent));
-      assertEquals("FAILED", ScriptedPolicy.next(lone.told));
+      assertEquals("FAILED", ScriptedPolicy.takeNext(lone.told));
       lone.watch(TIME_UP_MS);
       HttpPeer watch = stage.discovery.accept();
       assertEquals(0, assertWatches(41, watch));
-      watch.write(ProxyFixture.ok(ProxyFixture.roster(42, false)));
+      watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
       // Once there has been an answer, watches wait again.
       assertTrue(assertWatches(42, watch) > 0);
     }
@@ -424,11 +429,11 @@
   void whatDiscoveryHadWhileCallsToItFailedIsAskedForWithoutAWait(String mode) throws Exception {
     try (stage) {
       stage.registryMode = mode;
-      stage.firstNews = 1;
+      stage.firstUpdateTimeoutMillis = 1;
       stage.start(LatencyWeightedPolicy::new);
       HttpPeer first = stage.discovery.accept();
       assertWatches(41, first);
-      first.write(ProxyFixture.ok(ProxyFixture.roster(42, false)));
+      first.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
       assertWatches(42, first);
       first.reset();
       for (int i = 0; i < 2; i++) {
@@ -436,8 +441,8 @@
       }
       HttpPeer watch = stage.discovery.accept();
       assertEquals(0, assertWatches(42, watch));
-      watch.write(ProxyFixture.ok(ProxyFixture.roster(43, false)));
-      assertTrue(assertWatches(43, watch) >= DiscoveryClient.WATCH_MS / 2);
+      watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(43, false)));
+      assertTrue(assertWatches(43, watch) >= DiscoveryClient.MAX_WATCH_MILLIS / 2);
     }
   }
 
@@ -445,7 +450,7 @@
   void aListThatIsNotTakenInIsAskedForWholeOnceTheModuleAsks() throws Exception {
     try (stage) {
       started();
-      stage.script.onNews =
+      stage.policy.onUpdate =
           change -> {
             if (change == EndpointUpdateType.DELTA) {
               throw new IllegalStateException("made by a test");
@@ -454,29 +459,32 @@
       HttpPeer watch = stage.discovery.accept();
       assertWatches(41, watch);
       watch.write(
-          ProxyFixture.ok(
-              ProxyFixture.roster(45, false, ProxyFixture.entry(0, "127.0.0.1:1", "draining"))));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.next(stage.script.changes));
-      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.next(stage.script.changes));
-      stage.script.onRequest =
+          ProxyFixture.okResponse(
+              ProxyFixture.endpointList(
+                  45, false, ProxyFixture.endpointEntry(0, "127.0.0.1:1", "draining"))));
+      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(stage.policy.updates));
+      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(stage.policy.updates));
+      stage.policy.onRequest =
           request -> {
-            stage.script.actions.reject(request.id(), 0);
-            stage.script.actions.watchEndpoints(true);
+            stage.policy.actions.reject(request.id(), 0);
+            stage.policy.actions.watchEndpoints(true);
           };
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("again", "10"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("again", "10"));
       caller.read();
       // The first call since then, on the connection that is as well as before, and the only one.
-      assertEquals("GET /catalog/members HTTP/1.1", watch.read().first());
+      assertEquals("GET /catalog/members HTTP/1.1", watch.read().startLine());
       watch.write(
-          ProxyFixture.ok(
-              ProxyFixture.roster(
-                  45, true, ProxyFixture.entry(0, stage.upstreams.get(0).address(), "up"))));
-      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.next(stage.script.changes));
+          ProxyFixture.okResponse(
+              ProxyFixture.endpointList(
+                  45,
+                  true,
+                  ProxyFixture.endpointEntry(0, stage.upstreams.get(0).address(), "up"))));
+      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
       assertWatches(45, watch);
-      assertEquals(0, stage.discovery.waiting());
-      stage.script.onRequest = request -> stage.script.sendTo(0, request, 0);
-      stage.servesStill();
+      assertEquals(0, stage.discovery.pendingConnections());
+      stage.policy.onRequest = request -> stage.policy.sendTo(0, request, 0);
+      stage.assertStillServes();
     }
   }
 
@@ -487,12 +495,12 @@
       HttpPeer watch = stage.discovery.accept();
       assertWatches(41, watch);
       watch.write(
-          ProxyFixture.ok(ProxyFixture.roster(42, false))
+          ProxyFixture.okResponse(ProxyFixture.endpointList(42, false))
               .replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.next(stage.script.changes));
-      assertTrue(watch.ended());
+      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(stage.policy.updates));
+      assertTrue(watch.isClosedByPeer());
       assertWatches(42, stage.discovery.accept());
-      assertTrue(stage.script.changes.isEmpty());
+      assertTrue(stage.policy.updates.isEmpty());
     }
   }
 
@@ -503,10 +511,10 @@
       HttpPeer watch = stage.discovery.accept();
       assertWatches(41, watch);
       watch.write(
-          ProxyFixture.ok(
-              ProxyFixture.roster(
-                  7, true, ProxyFixture.entry(0, stage.upstreams.get(0).address(), "up"))));
-      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.next(stage.script.changes));
+          ProxyFixture.okResponse(
+              ProxyFixture.endpointList(
+                  7, true, ProxyFixture.endpointEntry(0, stage.upstreams.get(0).address(), "up"))));
+      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
       assertWatches(7, watch);
     }
   }
@@ -518,12 +526,12 @@
       stage.start(LatencyWeightedPolicy::new);
       HttpPeer silent = stage.discovery.accept();
       assertEquals(0, assertWatches(41, silent));
-      silent.write(ProxyFixture.ok(ProxyFixture.roster(41, false)));
+      silent.write(ProxyFixture.okResponse(ProxyFixture.endpointList(41, false)));
       // It counts as told 6 s after it was there to tell: the call that missed it has to be over.
       int wait = assertWatches(41, silent);
       assertTrue(wait > 0 && wait <= 2_000);
       HttpPeer watch = stage.discovery.accept();
-      assertTrue(silent.ended());
+      assertTrue(silent.isClosedByPeer());
       assertWatches(41, watch);
     }
   }
@@ -533,8 +541,8 @@
     CountDownLatch started = new CountDownLatch(1);
     try (stage) {
       stage.registryMode = "automatic";
-      stage.script.onStart = () -> {};
-      stage.firstNews = HttpPeer.PATIENCE_MS;
+      stage.policy.onStart = () -> {};
+      stage.firstUpdateTimeoutMillis = HttpPeer.TIMEOUT_MILLIS;
       Thread agent =
           new Thread(
               () -> {
@@ -545,11 +553,11 @@
                   // A node that does not wait for this has begun to serve by now.
                   started.await(300, TimeUnit.MILLISECONDS);
                   watch.write(
-                      ProxyFixture.ok(
-                          ProxyFixture.roster(
+                      ProxyFixture.okResponse(
+                          ProxyFixture.endpointList(
                               42,
                               false,
-                              ProxyFixture.entry(
+                              ProxyFixture.endpointEntry(
                                   0, stage.upstreams.get(0).address(), "draining"))));
                 } catch (IOException | InterruptedException e) {
                   throw new AssertionError(e);
@@ -558,8 +566,8 @@
       agent.start();
       stage.start();
       started.countDown();
-      assertEquals(EndpointUpdateType.CACHED, stage.script.changes.poll());
-      assertEquals(EndpointUpdateType.DELTA, stage.script.changes.poll());
+      assertEquals(EndpointUpdateType.CACHED, stage.policy.updates.poll());
+      assertEquals(EndpointUpdateType.DELTA, stage.policy.updates.poll());
       agent.join();
     }
   }
@@ -568,11 +576,11 @@
   void aNewProcessServesFromItsKnownListWhileDiscoveryIsSilent() throws Exception {
     try (stage) {
       stage.registryMode = "automatic";
-      stage.script.onStart = () -> {};
-      stage.firstNews = 1;
+      stage.policy.onStart = () -> {};
+      stage.firstUpdateTimeoutMillis = 1;
       stage.start();
       stage.discovery.accept().read();
-      stage.servesStill();
+      stage.assertStillServes();
     }
   }
 
@@ -588,10 +596,10 @@
         HttpPeer watch = copy.discovery.accept();
         // The first is answered at once and waits in neither.
         assertEquals(0, assertWatches(41, watch));
-        watch.write(ProxyFixture.ok(ProxyFixture.roster(42, false)));
+        watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
         for (int version = 42; version < 50; version++) {
           waits.add(assertWatches(version, watch));
-          watch.write(ProxyFixture.ok(ProxyFixture.roster(version + 1, false)));
+          watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(version + 1, false)));
         }
       }
     }
@@ -604,25 +612,25 @@
   @Test
   void theWholeListIsAskedForOnItsOwn() throws Exception {
     try (stage) {
-      stage.script.onStart = () -> stage.script.actions.fetchEndpoints();
+      stage.policy.onStart = () -> stage.policy.actions.fetchEndpoints();
       started();
       HttpPeer call = stage.discovery.accept();
-      assertEquals("GET /catalog/members HTTP/1.1", call.read().first());
-      call.write(ProxyFixture.ok(ProxyFixture.roster(50, true)));
-      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.next(stage.script.changes));
+      assertEquals("GET /catalog/members HTTP/1.1", call.read().startLine());
+      call.write(ProxyFixture.okResponse(ProxyFixture.endpointList(50, true)));
+      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
     }
   }
 
   @Test
   void aCallForTheWholeListLeavesNoConnectionBehind() throws Exception {
     try (stage) {
-      stage.script.onStart = () -> stage.script.actions.fetchEndpoints();
+      stage.policy.onStart = () -> stage.policy.actions.fetchEndpoints();
       started();
       HttpPeer call = stage.discovery.accept();
       call.read();
-      call.write(ProxyFixture.ok(ProxyFixture.roster(50, true)));
-      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.next(stage.script.changes));
-      assertTrue(call.ended());
+      call.write(ProxyFixture.okResponse(ProxyFixture.endpointList(50, true)));
+      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
+      assertTrue(call.isClosedByPeer());
     }
   }
 
@@ -638,20 +646,22 @@
       ScriptedListener[] moves = {second, third};
       for (ScriptedListener move : moves) {
         Files.writeString(file, stage.config().replace(stage.discovery.address(), move.address()));
-        stage.node.reload(ProxyConfig.read(file.toString()));
+        stage.server.reload(ProxyConfig.read(file.toString()));
         HttpPeer fresh = move.accept();
-        assertEquals("GET /catalog/members HTTP/1.1", fresh.read().first());
-        assertTrue(old.ended());
+        assertEquals("GET /catalog/members HTTP/1.1", fresh.read().startLine());
+        assertTrue(old.isClosedByPeer());
         fresh.write(
-            ProxyFixture.ok(
-                ProxyFixture.roster(
-                    7, true, ProxyFixture.entry(0, stage.upstreams.get(0).address(), "up"))));
+            ProxyFixture.okResponse(
+                ProxyFixture.endpointList(
+                    7,
+                    true,
+                    ProxyFixture.endpointEntry(0, stage.upstreams.get(0).address(), "up"))));
         // No failure came before it.
-        assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.next(stage.script.changes));
+        assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
         assertWatches(7, fresh);
         old = fresh;
       }
-      stage.servesStill();
+      stage.assertStillServes();
     } finally {
       Files.delete(file);
     }
@@ -662,37 +672,37 @@
     Path file = Files.createTempFile("node", ".json");
     try (stage;
         ScriptedListener second = new ScriptedListener()) {
-      stage.script.onStart =
+      stage.policy.onStart =
           () -> {
-            stage.script.actions.watchEndpoints(true);
-            stage.script.actions.fetchEndpoints();
+            stage.policy.actions.watchEndpoints(true);
+            stage.policy.actions.fetchEndpoints();
           };
       started();
       HttpPeer[] old = {stage.discovery.accept(), stage.discovery.accept()};
       old[0].read();
       old[1].read();
       Files.writeString(file, stage.config().replace(stage.discovery.address(), second.address()));
-      stage.node.reload(ProxyConfig.read(file.toString()));
+      stage.server.reload(ProxyConfig.read(file.toString()));
       HttpPeer watch = second.accept();
       watch.read();
       for (HttpPeer call : old) {
         try {
-          call.write(ProxyFixture.ok(ProxyFixture.roster(99, true)));
+          call.write(ProxyFixture.okResponse(ProxyFixture.endpointList(99, true)));
         } catch (IOException e) {
           // The watch's own connection is closed already.
         }
       }
       // What was asked for is asked for again, where discovery is now.
       HttpPeer fetch = second.accept();
-      assertEquals("GET /catalog/members HTTP/1.1", fetch.read().first());
-      assertTrue(stage.script.changes.isEmpty());
+      assertEquals("GET /catalog/members HTTP/1.1", fetch.read().startLine());
+      assertTrue(stage.policy.updates.isEmpty());
       watch.write(
-          ProxyFixture.ok(
-              ProxyFixture.roster(
-                  7, true, ProxyFixture.entry(0, stage.upstreams.get(0).address(), "up"))));
-      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.next(stage.script.changes));
+          ProxyFixture.okResponse(
+              ProxyFixture.endpointList(
+                  7, true, ProxyFixture.endpointEntry(0, stage.upstreams.get(0).address(), "up"))));
+      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
       assertWatches(7, watch);
-      stage.servesStill();
+      stage.assertStillServes();
     } finally {
       Files.delete(file);
     }
@@ -709,23 +719,23 @@
       assertWatches(41, watch);
       Files.writeString(first, stage.config());
       Files.writeString(other, stage.config().replace(stage.discovery.address(), second.address()));
-      stage.node.reload(ProxyConfig.read(first.toString()));
-      watch.write(ProxyFixture.ok(ProxyFixture.roster(42, false)));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.next(stage.script.changes));
+      stage.server.reload(ProxyConfig.read(first.toString()));
+      watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
+      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(stage.policy.updates));
       assertWatches(42, watch);
       // Two in a row: the later one counts, whatever the earlier one has begun.
-      stage.node.reload(ProxyConfig.read(other.toString()));
-      stage.node.reload(ProxyConfig.read(first.toString()));
-      assertTrue(watch.ended());
+      stage.server.reload(ProxyConfig.read(other.toString()));
+      stage.server.reload(ProxyConfig.read(first.toString()));
+      assertTrue(watch.isClosedByPeer());
       HttpPeer back = stage.discovery.accept();
-      assertEquals("GET /catalog/members HTTP/1.1", back.read().first());
+      assertEquals("GET /catalog/members HTTP/1.1", back.read().startLine());
       back.write(
-          ProxyFixture.ok(
-              ProxyFixture.roster(
-                  3, true, ProxyFixture.entry(0, stage.upstreams.get(0).address(), "up"))));
-      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.next(stage.script.changes));
+          ProxyFixture.okResponse(
+              ProxyFixture.endpointList(
+                  3, true, ProxyFixture.endpointEntry(0, stage.upstreams.get(0).address(), "up"))));
+      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
       assertWatches(3, back);
-      stage.servesStill();
+      stage.assertStillServes();
     } finally {
       Files.delete(first);
       Files.delete(other);
@@ -740,16 +750,16 @@
       started();
       stage.discovery.accept().read();
       Files.writeString(file, stage.config().replace(stage.discovery.address(), second.address()));
-      stage.node.reload(ProxyConfig.read(file.toString()));
+      stage.server.reload(ProxyConfig.read(file.toString()));
       second.accept().reset();
-      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.next(stage.script.changes));
-      stage.script.onRequest =
+      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(stage.policy.updates));
+      stage.policy.onRequest =
           request -> {
-            stage.script.actions.reject(request.id(), 0);
-            stage.script.actions.watchEndpoints(true);
+            stage.policy.actions.reject(request.id(), 0);
+            stage.policy.actions.watchEndpoints(true);
           };
-      stage.caller().write(ProxyFixture.get("again", "10"));
-      assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().first());
+      stage.connectClient().write(ProxyFixture.idempotentRequest("again", "10"));
+      assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().startLine());
     } finally {
       Files.delete(file);
     }
--- a/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
@@ -23,7 +23,7 @@
   private final EventLoopMonitor monitor = new EventLoopMonitor(() -> now);
   private boolean ready;
   private long selectMillis;
-  private final IoHandler handler = monitor.watch(executor -> new Selecting()).newHandler(null);
+  private final IoHandler handler = monitor.wrap(executor -> new Selecting()).newHandler(null);
 
   private void pass(long millis) {
     now += TimeUnit.MILLISECONDS.toNanos(millis);
@@ -76,11 +76,11 @@
 
   @Test
   void whatIsReadyAndWhatIsWaitedForAreOneIteration() {
-    long before = monitor.iteration();
+    long before = monitor.iterationCount();
     iterate(10, 0);
-    assertEquals(before + 1, monitor.iteration());
+    assertEquals(before + 1, monitor.iterationCount());
     iterate(0, 0);
-    assertEquals(before + 2, monitor.iteration());
+    assertEquals(before + 2, monitor.iterationCount());
   }
 
   @Test
@@ -122,14 +122,14 @@
   private static long iterationsFor(int timers, long micros) throws Exception {
     EventLoopMonitor watching = new EventLoopMonitor(System::nanoTime);
     EventLoopGroup group =
-        new MultiThreadIoEventLoopGroup(1, watching.watch(NioIoHandler.newFactory()));
+        new MultiThreadIoEventLoopGroup(1, watching.wrap(NioIoHandler.newFactory()));
     try {
       EventLoop loop = group.next();
-      long before = loop.submit(watching::iteration).get();
+      long before = loop.submit(watching::iterationCount).get();
       for (int i = 0; i < timers; i++) {
         loop.schedule(() -> {}, micros, TimeUnit.MICROSECONDS).sync();
       }
-      return loop.submit(watching::iteration).get() - before;
+      return loop.submit(watching::iterationCount).get() - before;
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
--- a/src/test/java/loadbalancer/proxy/frontend/FrontendTest.java
+++ b/src/test/java/loadbalancer/proxy/frontend/FrontendTest.java
@@ -30,7 +30,7 @@
   @Test
   void itIsHealthyOnceItListens() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
+      HttpPeer caller = stage.connectClient();
       caller.write(HEALTH);
       assertEquals(200, caller.read().status());
     }
@@ -77,40 +77,41 @@
       })
   void aMalformedRequestIsTheCallersFault(String request) throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
+      HttpPeer caller = stage.connectClient();
       caller.write(request);
       HttpPeer.Message answer = caller.read();
       assertEquals(400, answer.status());
       assertEquals("close", answer.header("Connection"));
-      assertTrue(caller.ended());
+      assertTrue(caller.isClosedByPeer());
       // The first that the upstream sees is the next caller's request.
-      stage.servesStill();
+      stage.assertStillServes();
     }
   }
 
   @Test
   void whatFollowsARequestIsToldAfterItsAnswer() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
+      HttpPeer caller = stage.connectClient();
       caller.write(
-          ProxyFixture.get("1", "10")
+          ProxyFixture.idempotentRequest("1", "10")
               + "POST /credit-spend HTTP/1.1\r\nExpect: 100-continue\r\n"
               + "Content-Length: 60000000\r\n\r\n");
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
-      upstream.write(ProxyFixture.ok("first"));
+      upstream.write(ProxyFixture.okResponse("first"));
       assertEquals("first", caller.read().body());
       assertEquals(413, caller.read().status());
-      assertTrue(caller.ended());
+      assertTrue(caller.isClosedByPeer());
     }
   }
 
   @Test
   void aBodyIsAskedForWhereItsCallerWaitsForThat() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
+      HttpPeer caller = stage.connectClient();
       String request =
-          ProxyFixture.spend("1", "body").replace("Host:", "Expect: 100-continue\r\nHost:");
+          ProxyFixture.atMostOnceRequest("1", "body")
+              .replace("Host:", "Expect: 100-continue\r\nHost:");
       caller.write(request.substring(0, request.length() - 4));
       assertEquals(100, caller.read().status());
       caller.write("body");
@@ -118,7 +119,7 @@
       HttpPeer.Message passed = upstream.read();
       assertEquals("body", passed.body());
       assertNull(passed.header("Expect"));
-      upstream.write(ProxyFixture.ok("served"));
+      upstream.write(ProxyFixture.okResponse("served"));
       assertEquals("served", caller.read().body());
     }
   }
@@ -126,35 +127,35 @@
   @Test
   void aCrowdOfRequestsSentAheadHasOneErrorAndTheFirstIsGivenUp() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("first", "x"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("first", "x"));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
       StringBuilder crowd = new StringBuilder();
       for (int i = 0; i < 300; i++) {
-        crowd.append(ProxyFixture.get("r" + i, "10"));
+        crowd.append(ProxyFixture.idempotentRequest("r" + i, "10"));
       }
       caller.write(crowd.toString());
       assertEquals(400, caller.read().status());
-      assertTrue(caller.ended());
-      assertEquals(1, ScriptedPolicy.next(stage.script.gone));
-      stage.script.onOutcome = outcome -> {};
-      assertEquals(0, stage.upstreams.get(0).waiting());
+      assertTrue(caller.isClosedByPeer());
+      assertEquals(1, ScriptedPolicy.takeNext(stage.policy.disconnected));
+      stage.policy.onResult = outcome -> {};
+      assertEquals(0, stage.upstreams.get(0).pendingConnections());
     }
   }
 
   /** Lets so much time pass for callers, as far as their time-outs go. */
   private static void later(ProxyFixture stage, double millis) throws Exception {
-    stage.node.onLoop(
+    stage.server.onLoop(
         (frontend, upstreams) -> {
-          frontend.sweep(stage.node.now() + millis);
+          frontend.sweep(stage.server.now() + millis);
           return null;
         });
   }
 
   /** Returns once the node has taken in what callers sent before. */
   private static void takenIn(ProxyFixture stage) throws Exception {
-    HttpPeer other = stage.caller();
+    HttpPeer other = stage.connectClient();
     other.write(HEALTH);
     other.read();
     other.close();
@@ -163,38 +164,38 @@
   @Test
   void aSilentCallerIsClosedAndOneWithHalfARequestToldWhy() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer silent = stage.caller();
-      HttpPeer[] slow = {stage.caller(), stage.caller(), stage.caller()};
+      HttpPeer silent = stage.connectClient();
+      HttpPeer[] slow = {stage.connectClient(), stage.connectClient(), stage.connectClient()};
       slow[0].write("GET /look-up HT");
       slow[1].write("GET /look-up HTTP/1.1\r\n");
       slow[2].write("POST /credit-spend HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
       takenIn(stage);
       later(stage, 3_000);
-      assertTrue(silent.ended());
+      assertTrue(silent.isClosedByPeer());
       for (HttpPeer caller : slow) {
         assertEquals(408, caller.read().status());
-        assertTrue(caller.ended());
+        assertTrue(caller.isClosedByPeer());
       }
-      stage.servesStill();
+      stage.assertStillServes();
     }
   }
 
   @Test
   void anIdleCallerIsClosedAndOneWhoseRequestIsAtWorkIsNot() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer idle = stage.caller();
+      HttpPeer idle = stage.connectClient();
       idle.write(HEALTH);
       idle.read();
-      HttpPeer busy = stage.caller();
+      HttpPeer busy = stage.connectClient();
       busy.write(HEALTH);
       busy.read();
       // It lies in the kernel or is at work; either way it must not be lost.
-      busy.write(ProxyFixture.get("1", "10"));
+      busy.write(ProxyFixture.idempotentRequest("1", "10"));
       later(stage, 9_000);
-      assertTrue(idle.ended());
+      assertTrue(idle.isClosedByPeer());
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
-      upstream.write(ProxyFixture.ok("kept"));
+      upstream.write(ProxyFixture.okResponse("kept"));
       assertEquals("kept", busy.read().body());
     }
   }
@@ -202,11 +203,11 @@
   @Test
   void aCrowdDoesNotWaitWhileOthersOnlyRest() throws Exception {
     try (ProxyFixture stage = new ProxyFixture()) {
-      stage.sockets = 64 + 20;
+      stage.maxDescriptors = 64 + 20;
       stage.start();
       for (int i = 0; i < 200; i++) {
         // Each keeps its connection for good, as far as it is asked.
-        HttpPeer caller = stage.caller();
+        HttpPeer caller = stage.connectClient();
         caller.write(HEALTH);
         assertEquals(200, caller.read().status());
       }
@@ -216,15 +217,15 @@
   @Test
   void aCrowdIsNotLetInBeyondTheDescriptorsWhenSomeOfItLeave() throws Exception {
     try (ProxyFixture stage = new ProxyFixture()) {
-      stage.sockets = 64 + 5;
+      stage.maxDescriptors = 64 + 5;
       stage.start();
       java.util.concurrent.atomic.AtomicInteger taken =
           new java.util.concurrent.atomic.AtomicInteger();
-      stage.script.onRequest = request -> taken.incrementAndGet();
+      stage.policy.onRequest = request -> taken.incrementAndGet();
       HttpPeer[] crowd = new HttpPeer[80];
       for (int i = 0; i < crowd.length; i++) {
-        crowd[i] = stage.caller();
-        crowd[i].write(ProxyFixture.get("r" + i, "20"));
+        crowd[i] = stage.connectClient();
+        crowd[i].write(ProxyFixture.idempotentRequest("r" + i, "20"));
       }
       for (int i = 0; i < 10; i++) {
         later(stage, 0);
@@ -234,13 +235,13 @@
       // As long as too many are there, nobody takes the place of one that leaves.
       for (int i = 0; i < before - 5; i++) {
         crowd[i].close();
-        ScriptedPolicy.next(stage.script.gone);
+        ScriptedPolicy.takeNext(stage.policy.disconnected);
         later(stage, 0);
         later(stage, 0);
       }
       assertEquals(before, taken.get());
       crowd[before - 1].close();
-      ScriptedPolicy.next(stage.script.gone);
+      ScriptedPolicy.takeNext(stage.policy.disconnected);
       while (taken.get() == before) {
         Thread.onSpinWait();
       }
@@ -250,18 +251,18 @@
   @Test
   void anIdThatIsAtWorkIsTheNewcomersFault() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer first = stage.caller();
-      first.write(ProxyFixture.spend("same", "x"));
+      HttpPeer first = stage.connectClient();
+      first.write(ProxyFixture.atMostOnceRequest("same", "x"));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
-      HttpPeer second = stage.caller();
-      second.write(ProxyFixture.spend("same", "x"));
+      HttpPeer second = stage.connectClient();
+      second.write(ProxyFixture.atMostOnceRequest("same", "x"));
       assertEquals(409, second.read().status());
-      assertTrue(second.ended());
-      upstream.write(ProxyFixture.ok("first"));
+      assertTrue(second.isClosedByPeer());
+      upstream.write(ProxyFixture.okResponse("first"));
       assertEquals("first", first.read().body());
       // It is free again.
-      first.write(ProxyFixture.get("same", "10"));
+      first.write(ProxyFixture.idempotentRequest("same", "10"));
       assertEquals("same", upstream.read().header("X-Txn"));
     }
   }
@@ -269,15 +270,15 @@
   @Test
   void aClientThatLeftMaySendItsRequestAgain() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer first = stage.caller();
-      first.write(ProxyFixture.get("same", "10"));
+      HttpPeer first = stage.connectClient();
+      first.write(ProxyFixture.idempotentRequest("same", "10"));
       stage.upstreams.get(0).accept().read();
       first.close();
-      HttpPeer second = stage.caller();
-      second.write(ProxyFixture.get("same", "10"));
+      HttpPeer second = stage.connectClient();
+      second.write(ProxyFixture.idempotentRequest("same", "10"));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
-      upstream.write(ProxyFixture.ok("second"));
+      upstream.write(ProxyFixture.okResponse("second"));
       assertEquals("second", second.read().body());
     }
   }
@@ -285,22 +286,22 @@
   @Test
   void aClientThatSendsAgainAndLeavesAtOnceIsNotTakenForAtWork() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer first = stage.caller();
-      first.write(ProxyFixture.get("same", "10"));
+      HttpPeer first = stage.connectClient();
+      first.write(ProxyFixture.idempotentRequest("same", "10"));
       stage.upstreams.get(0).accept().read();
-      HttpPeer second = stage.caller();
+      HttpPeer second = stage.connectClient();
       second.write(HEALTH);
       second.read();
       onLoop(
           stage,
           () -> {
             // Both lie there when the node looks, and what came first is read first.
-            second.write(ProxyFixture.get("same", "10"));
+            second.write(ProxyFixture.idempotentRequest("same", "10"));
             first.close();
           });
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
-      upstream.write(ProxyFixture.ok("second"));
+      upstream.write(ProxyFixture.okResponse("second"));
       assertEquals("second", second.read().body());
     }
   }
@@ -313,8 +314,8 @@
       onLoop(
           stage,
           () -> {
-            HttpPeer left = HttpPeer.to(stage.node.address());
-            left.write(ProxyFixture.get("left", "10") + behind(kind));
+            HttpPeer left = HttpPeer.connect(stage.server.address());
+            left.write(ProxyFixture.idempotentRequest("left", "10") + behind(kind));
             if (reset) {
               left.reset();
             } else {
@@ -322,8 +323,8 @@
             }
           });
       takenIn(stage);
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("stays", "10"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("stays", "10"));
       assertEquals("stays", stage.upstreams.get(0).accept().read().header("X-Txn"));
     }
   }
@@ -334,13 +335,13 @@
       onLoop(
           stage,
           () -> {
-            try (HttpPeer left = HttpPeer.to(stage.node.address())) {
-              left.write(ProxyFixture.get("left", "10"));
+            try (HttpPeer left = HttpPeer.connect(stage.server.address())) {
+              left.write(ProxyFixture.idempotentRequest("left", "10"));
             }
           });
       takenIn(stage);
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("stays", "10"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("stays", "10"));
       assertEquals("stays", stage.upstreams.get(0).accept().read().header("X-Txn"));
     }
   }
@@ -348,18 +349,18 @@
   @Test
   void aRequestWhoseClientLeftBehindItOnAKeptConnectionIsNotSentOn() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer left = stage.caller();
+      HttpPeer left = stage.connectClient();
       left.write(HEALTH);
       left.read();
       onLoop(
           stage,
           () -> {
-            left.write(ProxyFixture.get("left", "10"));
+            left.write(ProxyFixture.idempotentRequest("left", "10"));
             left.close();
           });
       takenIn(stage);
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("stays", "10"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("stays", "10"));
       assertEquals("stays", stage.upstreams.get(0).accept().read().header("X-Txn"));
     }
   }
@@ -370,7 +371,7 @@
 
   /** Does something while the node can't: all of it lies in the kernel when it looks again. */
   private static void onLoop(ProxyFixture stage, Job job) throws Exception {
-    stage.node.onLoop(
+    stage.server.onLoop(
         (frontend, upstreams) -> {
           try {
             job.run();
@@ -388,14 +389,16 @@
     try (ProxyFixture stage = new ProxyFixture().start()) {
       // The module keeps it in its queue, where it must not stay for its time.
       AtomicReference<Double> deadline = new AtomicReference<>();
-      stage.script.onRequest = request -> deadline.set(request.deadlineMillis());
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("waits", "x").replace("X-Remaining: 10", "X-Remaining: 15"));
+      stage.policy.onRequest = request -> deadline.set(request.deadlineMillis());
+      HttpPeer caller = stage.connectClient();
+      caller.write(
+          ProxyFixture.atMostOnceRequest("waits", "x")
+              .replace("X-Remaining: 10", "X-Remaining: 15"));
       if (kind == 0) {
         caller.write("no request at all\r\n\r\n" + "x".repeat(6 * 1024 * 1024));
       } else {
         for (int i = 0; i < 5; i++) {
-          caller.write(ProxyFixture.spend("ahead" + i, "b".repeat(60 * kind)));
+          caller.write(ProxyFixture.atMostOnceRequest("ahead" + i, "b".repeat(60 * kind)));
         }
       }
       takenIn(stage);
@@ -404,8 +407,8 @@
       } else {
         caller.close();
       }
-      assertEquals(1, ScriptedPolicy.next(stage.script.gone));
-      assertTrue(stage.node.now() < deadline.get());
+      assertEquals(1, ScriptedPolicy.takeNext(stage.policy.disconnected));
+      assertTrue(stage.server.now() < deadline.get());
     }
   }
 
@@ -414,7 +417,7 @@
    */
   private static String behind(String kind) {
     return switch (kind) {
-      case "ahead" -> ProxyFixture.spend("ahead", "b".repeat(30_000));
+      case "ahead" -> ProxyFixture.atMostOnceRequest("ahead", "b".repeat(30_000));
       case "part" ->
           "POST /credit-spend HTTP/1.1\r\nContent-Length: 60000\r\n\r\n" + "b".repeat(30_000);
       case "flaw" -> "no request at all\r\n\r\n" + "x".repeat(30_000);
@@ -428,10 +431,10 @@
       throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
       LinkedBlockingQueue<ClientRequest> held = new LinkedBlockingQueue<>();
-      stage.script.onRequest = held::add;
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("waits", "x"));
-      ClientRequest request = ScriptedPolicy.next(held);
+      stage.policy.onRequest = held::add;
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("waits", "x"));
+      ClientRequest request = ScriptedPolicy.takeNext(held);
       onLoop(
           stage,
           () -> {
@@ -442,13 +445,13 @@
               caller.close();
             }
             // The module has found a server for it, in the same round of the loop.
-            stage.script.sendTo(0, request, 0);
+            stage.policy.sendTo(0, request, 0);
           });
-      assertEquals(AttemptOutcome.NOT_SENT, stage.script.result());
-      assertEquals(1, ScriptedPolicy.next(stage.script.gone));
+      assertEquals(AttemptOutcome.NOT_SENT, stage.policy.nextOutcome());
+      assertEquals(1, ScriptedPolicy.takeNext(stage.policy.disconnected));
       takenIn(stage);
-      assertEquals(0, stage.upstreams.get(0).waiting());
-      assertTrue(stage.script.gone.isEmpty());
+      assertEquals(0, stage.upstreams.get(0).pendingConnections());
+      assertTrue(stage.policy.disconnected.isEmpty());
     }
   }
 
@@ -457,8 +460,8 @@
   void aFurtherAttemptDoesNotBeginWhileItsClientsLeavingLiesUnread(boolean halfOnly)
       throws Exception {
     try (ProxyFixture stage = new ProxyFixture(2).start()) {
-      HttpPeer caller = stage.caller();
-      stage.script.onOpen =
+      HttpPeer caller = stage.connectClient();
+      stage.policy.onUnansweredResult =
           (actions, outcome) -> {
             try {
               if (halfOnly) {
@@ -470,17 +473,17 @@
             } catch (java.io.IOException e) {
               throw new java.io.UncheckedIOException(e);
             }
-            actions.sendAttempt(outcome.requestId(), stage.script.upstreams.get(1).id(), 0);
+            actions.sendAttempt(outcome.requestId(), stage.policy.endpoints.get(1).id(), 0);
           };
-      caller.write(ProxyFixture.get("again", "10"));
+      caller.write(ProxyFixture.idempotentRequest("again", "10"));
       HttpPeer first = stage.upstreams.get(0).accept();
       first.read();
       first.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-      assertEquals(AttemptOutcome.ERROR, stage.script.result());
-      assertEquals(AttemptOutcome.NOT_SENT, stage.script.result());
-      assertEquals(1, ScriptedPolicy.next(stage.script.gone));
+      assertEquals(AttemptOutcome.ERROR, stage.policy.nextOutcome());
+      assertEquals(AttemptOutcome.NOT_SENT, stage.policy.nextOutcome());
+      assertEquals(1, ScriptedPolicy.takeNext(stage.policy.disconnected));
       takenIn(stage);
-      assertEquals(0, stage.upstreams.get(1).waiting());
+      assertEquals(0, stage.upstreams.get(1).pendingConnections());
     }
   }
 
@@ -490,16 +493,16 @@
       throws Exception {
     try (ProxyFixture stage = new ProxyFixture()) {
       LinkedBlockingQueue<Double> left = new LinkedBlockingQueue<>();
-      stage.script.onRequest =
+      stage.policy.onRequest =
           request -> {
-            left.add(request.deadlineMillis() - stage.node.now());
-            stage.script.actions.reject(request.id(), 0);
+            left.add(request.deadlineMillis() - stage.server.now());
+            stage.policy.actions.reject(request.id(), 0);
           };
       stage.start();
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("1", remaining));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("1", remaining));
       assertEquals(503, caller.read().status());
-      double told = ScriptedPolicy.next(left);
+      double told = ScriptedPolicy.takeNext(left);
       assertTrue(told <= atMost, told + " ms");
     }
   }
@@ -510,7 +513,7 @@
         ProxyFixture other = new ProxyFixture()) {
       // What may be repeated in the one must not run twice in the other, whatever its place and
       // name.
-      other.edit =
+      other.configEdit =
           config ->
               config
                   .replace("look-up", "\0")
@@ -519,10 +522,10 @@
       one.start();
       other.start();
       for (ProxyFixture stage : new ProxyFixture[] {other, one, other}) {
-        HttpPeer getter = stage.caller();
-        getter.write(ProxyFixture.get("g", "10"));
-        HttpPeer spender = stage.caller();
-        spender.write(ProxyFixture.spend("s", "x"));
+        HttpPeer getter = stage.connectClient();
+        getter.write(ProxyFixture.idempotentRequest("g", "10"));
+        HttpPeer spender = stage.connectClient();
+        spender.write(ProxyFixture.atMostOnceRequest("s", "x"));
         // Both are out before one is answered, or the second could come on the first's connection.
         List<HttpPeer> out = new ArrayList<>();
         for (int i = 0; stage == one && i < 2; i++) {
@@ -530,88 +533,90 @@
           out.get(i).read();
         }
         for (HttpPeer upstream : out) {
-          upstream.write(ProxyFixture.ok("served"));
+          upstream.write(ProxyFixture.okResponse("served"));
         }
         for (HttpPeer caller : new HttpPeer[] {getter, spender}) {
           assertEquals(stage == one ? 200 : 400, caller.read().status());
         }
       }
-      assertEquals(0, other.upstreams.get(0).waiting());
+      assertEquals(0, other.upstreams.get(0).pendingConnections());
     }
   }
 
   @Test
   void theTimeOfARequestRunsWhileItWaitsForItsTurn() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("1", "10") + ProxyFixture.get("2", "0.001"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(
+          ProxyFixture.idempotentRequest("1", "10") + ProxyFixture.idempotentRequest("2", "0.001"));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
       takenIn(stage);
       LinkedBlockingQueue<Double> deadlines = new LinkedBlockingQueue<>();
-      stage.script.onRequest =
+      stage.policy.onRequest =
           request -> {
             deadlines.add(request.deadlineMillis());
-            stage.script.sendTo(0, request, 0);
+            stage.policy.sendTo(0, request, 0);
           };
-      double answered = stage.node.now();
-      upstream.write(ProxyFixture.ok("first"));
-      assertTrue(ScriptedPolicy.next(deadlines) < answered + 1);
+      double answered = stage.server.now();
+      upstream.write(ProxyFixture.okResponse("first"));
+      assertTrue(ScriptedPolicy.takeNext(deadlines) < answered + 1);
       assertEquals("first", caller.read().body());
       // It was over before its turn came, and has its answer all the same.
       assertEquals(502, caller.read().status());
-      assertEquals(0, stage.upstreams.get(0).waiting());
+      assertEquals(0, stage.upstreams.get(0).pendingConnections());
     }
   }
 
   @Test
   void aBodyOverTheLimitIsTurnedDown() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("1", "b".repeat(ProtocolHeaders.MAX_BODY_BYTES + 1)));
+      HttpPeer caller = stage.connectClient();
+      caller.write(
+          ProxyFixture.atMostOnceRequest("1", "b".repeat(ProtocolHeaders.MAX_BODY_BYTES + 1)));
       assertEquals(413, caller.read().status());
-      stage.servesStill();
+      stage.assertStillServes();
     }
   }
 
   @Test
   void aCallerThatStillSendsHasItsAnswerAllTheSame() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
+      HttpPeer caller = stage.connectClient();
       caller.write("no request at all\r\n\r\n");
       // The answer may be out before the rest comes in; it must not be lost to a reset.
       caller.write("x".repeat(200_000));
       assertEquals(400, caller.read().status());
       caller.socket.shutdownOutput();
-      assertTrue(caller.ended());
+      assertTrue(caller.isClosedByPeer());
     }
   }
 
   @Test
   void headersOverTheLimitAreTurnedDown() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
+      HttpPeer caller = stage.connectClient();
       caller.write("GET /look-up HTTP/1.1\r\nX-Labels: " + "x".repeat(20_000) + "\r\n\r\n");
       int status = caller.read().status();
       assertTrue(status >= 400 && status < 500 && status != 429, "status " + status);
-      stage.servesStill();
+      stage.assertStillServes();
     }
   }
 
   @Test
   void aRefusalSaysWhenToComeBackAndAFailureIsNoRefusal() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      stage.script.onRequest = request -> stage.script.actions.reject(request.id(), 250);
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("1", "10"));
+      stage.policy.onRequest = request -> stage.policy.actions.reject(request.id(), 250);
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("1", "10"));
       HttpPeer.Message refused = caller.read();
       assertEquals(503, refused.status());
       assertEquals("0.250", refused.header("Retry-After"));
-      stage.script.onRequest = request -> stage.script.actions.reject(request.id(), 0);
-      caller.write(ProxyFixture.get("2", "10"));
+      stage.policy.onRequest = request -> stage.policy.actions.reject(request.id(), 0);
+      caller.write(ProxyFixture.idempotentRequest("2", "10"));
       assertNull(caller.read().header("Retry-After"));
-      stage.script.onRequest = request -> stage.script.actions.failRequest(request.id());
-      caller.write(ProxyFixture.get("3", "10"));
+      stage.policy.onRequest = request -> stage.policy.actions.failRequest(request.id());
+      caller.write(ProxyFixture.idempotentRequest("3", "10"));
       assertEquals(502, caller.read().status());
     }
   }
@@ -619,14 +624,14 @@
   @Test
   void anAnswerIsGivenOnceOnly() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      stage.script.onRequest =
+      stage.policy.onRequest =
           request -> {
-            stage.script.actions.failRequest(request.id());
-            stage.script.actions.reject(request.id(), 0);
-            stage.script.actions.failRequest(request.id());
+            stage.policy.actions.failRequest(request.id());
+            stage.policy.actions.reject(request.id(), 0);
+            stage.policy.actions.failRequest(request.id());
           };
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("1", "10"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("1", "10"));
       assertEquals(502, caller.read().status());
       caller.write(HEALTH);
       assertEquals(200, caller.read().status());
@@ -636,16 +641,19 @@
   @Test
   void requestsSentAheadAreAnsweredInTheirOrder() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("1", "10") + ProxyFixture.get("2", "10") + HEALTH);
+      HttpPeer caller = stage.connectClient();
+      caller.write(
+          ProxyFixture.idempotentRequest("1", "10")
+              + ProxyFixture.idempotentRequest("2", "10")
+              + HEALTH);
       HttpPeer upstream = stage.upstreams.get(0).accept();
       assertEquals("1", upstream.read().header("X-Txn"));
-      upstream.write(ProxyFixture.ok("first"));
+      upstream.write(ProxyFixture.okResponse("first"));
       // The first answer frees its connection only after the next request has looked for one.
       assertEquals("first", caller.read().body());
       HttpPeer second = stage.upstreams.get(0).accept();
       assertEquals("2", second.read().header("X-Txn"));
-      second.write(ProxyFixture.ok("second"));
+      second.write(ProxyFixture.okResponse("second"));
       assertEquals("second", caller.read().body());
       assertEquals(200, caller.read().status());
     }
@@ -654,19 +662,19 @@
   @Test
   void aCallerThatLeavesIsGoneOnceAndLaterOutcomesAreDropped() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("1", "x"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("1", "x"));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
       caller.close();
-      assertEquals(1, ScriptedPolicy.next(stage.script.gone));
-      upstream.write(ProxyFixture.ok("nobody waits"));
-      assertTrue(ScriptedPolicy.next(stage.script.outcomes).requestClosed());
-      stage.script.onRequest = request -> stage.script.actions.failRequest(request.id());
-      HttpPeer other = stage.caller();
-      other.write(ProxyFixture.get("2", "10"));
+      assertEquals(1, ScriptedPolicy.takeNext(stage.policy.disconnected));
+      upstream.write(ProxyFixture.okResponse("nobody waits"));
+      assertTrue(ScriptedPolicy.takeNext(stage.policy.results).requestClosed());
+      stage.policy.onRequest = request -> stage.policy.actions.failRequest(request.id());
+      HttpPeer other = stage.connectClient();
+      other.write(ProxyFixture.idempotentRequest("2", "10"));
       other.read();
-      assertTrue(stage.script.gone.isEmpty());
+      assertTrue(stage.policy.disconnected.isEmpty());
     }
   }
 
@@ -674,7 +682,7 @@
   @CsvSource({"request", "outcome", "timer"})
   void anExceptionInTheModuleFailsThatRequestOnly(String where) throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      ScriptedPolicy script = stage.script;
+      ScriptedPolicy script = stage.policy;
       Runnable broken =
           () -> {
             throw new IllegalStateException("made by a test");
@@ -682,34 +690,34 @@
       if (where.equals("request")) {
         script.onRequest = request -> broken.run();
       } else if (where.equals("outcome")) {
-        script.onOpen = (actions, outcome) -> broken.run();
+        script.onUnansweredResult = (actions, outcome) -> broken.run();
       } else {
         script.onRequest = request -> script.actions.scheduleTimer(7, 0);
         script.onTimer = broken;
       }
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("1", "x"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("1", "x"));
       if (where.equals("outcome")) {
         HttpPeer upstream = stage.upstreams.get(0).accept();
         upstream.read();
         upstream.close();
       }
       assertEquals(500, caller.read().status());
-      assertEquals(1, ScriptedPolicy.next(script.gone));
+      assertEquals(1, ScriptedPolicy.takeNext(script.disconnected));
       script.onRequest = request -> script.sendTo(0, request, 0);
-      script.onOpen = (actions, outcome) -> {};
-      stage.servesStill();
+      script.onUnansweredResult = (actions, outcome) -> {};
+      stage.assertStillServes();
     }
   }
 
   @Test
   void aRequestThatTheModuleForgetsFailsSoonAfterItsDeadline() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      stage.script.onRequest = request -> {};
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("1", "0.1"));
+      stage.policy.onRequest = request -> {};
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("1", "0.1"));
       assertEquals(504, caller.read().status());
-      assertEquals(1, ScriptedPolicy.next(stage.script.gone));
+      assertEquals(1, ScriptedPolicy.takeNext(stage.policy.disconnected));
     }
   }
 
@@ -718,16 +726,16 @@
     try (ProxyFixture stage = new ProxyFixture().start()) {
       boolean[] inside = new boolean[1];
       boolean[] nested = new boolean[1];
-      stage.script.onOutcome = outcome -> nested[0] |= inside[0];
-      stage.script.onRequest =
+      stage.policy.onResult = outcome -> nested[0] |= inside[0];
+      stage.policy.onRequest =
           request -> {
             inside[0] = true;
             // No such upstream: the attempt has ended before the action returns.
-            stage.script.actions.sendAttempt(request.id(), 12_345, 0);
+            stage.policy.actions.sendAttempt(request.id(), 12_345, 0);
             inside[0] = false;
           };
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("1", "10"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("1", "10"));
       assertEquals(502, caller.read().status());
       assertFalse(nested[0]);
     }
@@ -737,7 +745,7 @@
   void anAttemptOverTheLimitIsNotSent() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
       stage.upstreams.get(0).close();
-      stage.script.onOpen =
+      stage.policy.onUnansweredResult =
           (actions, outcome) -> {
             if (outcome.outcome() == AttemptOutcome.NOT_SENT) {
               actions.reject(outcome.requestId(), 0);
@@ -745,10 +753,10 @@
               actions.sendAttempt(outcome.requestId(), outcome.endpointId(), 0);
             }
           };
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("1", "10"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("1", "10"));
       assertEquals(503, caller.read().status());
-      assertEquals(5, stage.script.outcomes.size());
+      assertEquals(5, stage.policy.results.size());
     }
   }
 }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamClientTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamClientTest.java
@@ -30,32 +30,32 @@
   @Test
   void aRequestGoesOnUnchangedAndItsAnswerComesBack() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
+      HttpPeer caller = stage.connectClient();
       caller.write(
           "POST /tile-order/a?x=1 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: 9b1f03aa5c7e2d41\r\n"
               + "X-Lane: tile-order\r\nX-Remaining: 5\r\nIdempotency-Key: 5c0f\r\n"
               + "Connection: keep-alive\r\nContent-Length: 4\r\n\r\nbody");
       HttpPeer upstream = stage.upstreams.get(0).accept();
       HttpPeer.Message request = upstream.read();
-      assertEquals("POST /tile-order/a?x=1 HTTP/1.1", request.first());
+      assertEquals("POST /tile-order/a?x=1 HTTP/1.1", request.startLine());
       assertEquals("9b1f03aa5c7e2d41", request.header("X-Txn"));
       assertEquals("5c0f", request.header("Idempotency-Key"));
       assertEquals("body", request.body());
       double remaining = Double.parseDouble(request.header("X-Remaining"));
       assertTrue(remaining > 0 && remaining <= 5, "remaining " + remaining);
-      upstream.write(ProxyFixture.ok("served"));
+      upstream.write(ProxyFixture.okResponse("served"));
       HttpPeer.Message answer = caller.read();
       assertEquals(200, answer.status());
       assertEquals("served", answer.body());
-      assertEquals(AttemptOutcome.OK, stage.script.result());
+      assertEquals(AttemptOutcome.OK, stage.policy.nextOutcome());
     }
   }
 
   @Test
   void anUpstreamIsToldNoMoreThanTheAttemptsOwnTimeout() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      stage.script.onRequest = request -> stage.script.sendTo(0, request, 3_000);
-      stage.caller().write(ProxyFixture.get("1", "9"));
+      stage.policy.onRequest = request -> stage.policy.sendTo(0, request, 3_000);
+      stage.connectClient().write(ProxyFixture.idempotentRequest("1", "9"));
       String remaining = stage.upstreams.get(0).accept().read().header("X-Remaining");
       assertTrue(Double.parseDouble(remaining) <= 3, remaining);
     }
@@ -66,8 +66,8 @@
   void anAnswersStatusTellsItsOutcome(int status, String turnedAway, AttemptOutcome expected)
       throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("1", "x"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("1", "x"));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
       upstream.write(
@@ -76,7 +76,7 @@
               + " No\r\nContent-Length: 0\r\n"
               + (turnedAway == null ? "" : "X-Turned-Away: " + turnedAway + "\r\n")
               + "\r\n");
-      assertEquals(expected, stage.script.result());
+      assertEquals(expected, stage.policy.nextOutcome());
       assertEquals(502, caller.read().status());
     }
   }
@@ -85,9 +85,9 @@
   void aRefusedConnectionNeverRan() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
       stage.upstreams.get(0).close();
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("1", "x"));
-      assertEquals(AttemptOutcome.CONNECT_FAILED, stage.script.result());
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("1", "x"));
+      assertEquals(AttemptOutcome.CONNECT_FAILED, stage.policy.nextOutcome());
       assertEquals(502, caller.read().status());
     }
   }
@@ -105,8 +105,8 @@
   void aConnectionThatEndsBeforeTheWholeAnswerIsAReset(String part) throws Exception {
     for (boolean abruptly : new boolean[] {false, true}) {
       try (ProxyFixture stage = new ProxyFixture().start()) {
-        HttpPeer caller = stage.caller();
-        caller.write(ProxyFixture.spend("1", "x"));
+        HttpPeer caller = stage.connectClient();
+        caller.write(ProxyFixture.atMostOnceRequest("1", "x"));
         HttpPeer upstream = stage.upstreams.get(0).accept();
         upstream.read();
         upstream.write(part);
@@ -115,7 +115,7 @@
         } else {
           upstream.close();
         }
-        assertEquals(AttemptOutcome.RESET, stage.script.result());
+        assertEquals(AttemptOutcome.RESET, stage.policy.nextOutcome());
         HttpPeer.Message answer = caller.read();
         assertEquals(502, answer.status());
         assertEquals("", answer.body());
@@ -129,17 +129,17 @@
       // Large bodies that nobody reads fill the buffers between; the last one can't be written.
       stage.upstreams.set(0, new ScriptedListener(1_024));
       stage.start();
-      stage.node.onLoop(
+      stage.server.onLoop(
           (frontend, upstreams) -> {
             upstreams.sendBuffer(4_096);
             return null;
           });
       String body = "b".repeat(ProtocolHeaders.MAX_BODY_BYTES);
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("1", body));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("1", body));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.reset();
-      assertEquals(AttemptOutcome.CONNECT_FAILED, stage.script.result());
+      assertEquals(AttemptOutcome.CONNECT_FAILED, stage.policy.nextOutcome());
       assertEquals(502, caller.read().status());
     }
   }
@@ -151,13 +151,13 @@
     try (ProxyFixture stage = new ProxyFixture()) {
       stage.upstreams.set(0, new ScriptedListener(1_024));
       stage.start();
-      stage.node.onLoop(
+      stage.server.onLoop(
           (frontend, upstreams) -> {
             upstreams.sendBuffer(4_096);
             return null;
           });
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("1", "b".repeat(ProtocolHeaders.MAX_BODY_BYTES)));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("1", "b".repeat(ProtocolHeaders.MAX_BODY_BYTES)));
       // It reads nothing, so that the request can't be out.
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.write(
@@ -166,7 +166,7 @@
               + "\r\nContent-Length: 5\r\n"
               + (turnedAway == null ? "" : "X-Turned-Away: " + turnedAway + "\r\n")
               + "\r\nother");
-      assertEquals(expected, stage.script.result());
+      assertEquals(expected, stage.policy.nextOutcome());
       assertEquals(502, caller.read().status());
     }
   }
@@ -180,15 +180,15 @@
       })
   void aMalformedAnswerIsAnError(String answer) throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("1", "x"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("1", "x"));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
       upstream.write(answer);
-      assertEquals(AttemptOutcome.ERROR, stage.script.result());
+      assertEquals(AttemptOutcome.ERROR, stage.policy.nextOutcome());
       assertEquals(502, caller.read().status());
-      assertTrue(upstream.ended());
-      stage.servesStill();
+      assertTrue(upstream.isClosedByPeer());
+      stage.assertStillServes();
     }
   }
 
@@ -211,26 +211,26 @@
       })
   void aSpoiltAnswerIsAFailureThatMayHaveRunAndEndsItsConnection(String answer) throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("1", "x"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("1", "x"));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
       // The upstream leaves the connection open; without care the request would wait for its end.
       upstream.write(answer);
-      assertEquals(AttemptOutcome.ERROR, stage.script.result());
+      assertEquals(AttemptOutcome.ERROR, stage.policy.nextOutcome());
       assertEquals(502, caller.read().status());
-      assertTrue(upstream.ended());
-      stage.servesStill();
+      assertTrue(upstream.isClosedByPeer());
+      stage.assertStillServes();
     }
   }
 
   @Test
   void endlessHeadsAndInterimAnswersAreCutOff() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
+      HttpPeer caller = stage.connectClient();
       for (String endless :
           new String[] {"HTTP/1.1 100 Continue\r\n\r\n", "X-More: of the same\r\n"}) {
-        caller.write(ProxyFixture.get("1", "20"));
+        caller.write(ProxyFixture.idempotentRequest("1", "20"));
         HttpPeer upstream = stage.upstreams.get(0).accept();
         upstream.read();
         try {
@@ -241,7 +241,7 @@
         } catch (IOException e) {
           // Cut off in the middle is soon enough.
         }
-        assertEquals(AttemptOutcome.ERROR, stage.script.result());
+        assertEquals(AttemptOutcome.ERROR, stage.policy.nextOutcome());
         assertEquals(502, caller.read().status());
       }
     }
@@ -250,14 +250,14 @@
   @Test
   void interimAnswersAheadOfOneAreSkipped() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("1", "10"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("1", "10"));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
       upstream.write(
           "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\n" + "Link: x\r\n\r\nHTTP/1");
       takenIn(stage);
-      upstream.write(ProxyFixture.ok("served").substring(6));
+      upstream.write(ProxyFixture.okResponse("served").substring(6));
       assertEquals("served", caller.read().body());
     }
   }
@@ -273,20 +273,20 @@
   void whatFollowsAnAnswerIsNotTakenForTheNext(String more) throws Exception {
     for (boolean later : new boolean[] {false, true}) {
       try (ProxyFixture stage = new ProxyFixture().start()) {
-        HttpPeer caller = stage.caller();
-        caller.write(ProxyFixture.get("1", "10"));
+        HttpPeer caller = stage.connectClient();
+        caller.write(ProxyFixture.idempotentRequest("1", "10"));
         HttpPeer upstream = stage.upstreams.get(0).accept();
         upstream.read();
-        upstream.write(ProxyFixture.ok("mine") + (later ? "" : more));
+        upstream.write(ProxyFixture.okResponse("mine") + (later ? "" : more));
         assertEquals("mine", caller.read().body());
         if (later) {
           upstream.write(more);
         }
-        caller.write(ProxyFixture.get("2", "10"));
+        caller.write(ProxyFixture.idempotentRequest("2", "10"));
         HttpPeer fresh = stage.upstreams.get(0).accept();
         assertEquals("2", fresh.read().header("X-Txn"));
-        assertTrue(upstream.ended());
-        fresh.write(ProxyFixture.ok("yours"));
+        assertTrue(upstream.isClosedByPeer());
+        fresh.write(ProxyFixture.okResponse("yours"));
         assertEquals("yours", caller.read().body());
       }
     }
@@ -294,7 +294,7 @@
 
   /** Returns once the node has read what came before. */
   private static void takenIn(ProxyFixture stage) throws Exception {
-    HttpPeer other = stage.caller();
+    HttpPeer other = stage.connectClient();
     other.write("GET /_health HTTP/1.1\r\n\r\n");
     other.read();
   }
@@ -303,9 +303,9 @@
   void onlyWhatTheProtocolNamesGoesOn() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
       stage
-          .caller()
+          .connectClient()
           .write(
-              ProxyFixture.get("1", "10")
+              ProxyFixture.idempotentRequest("1", "10")
                   .replace(
                       "Host:",
                       "Authorization: secret\r\n" + "X-Turned-Away: 1\r\nX-Labels: a=1\r\nHost:"));
@@ -320,17 +320,17 @@
   @Test
   void aShortageOfDescriptorsHereIsNotHeldAgainstAnUpstream() throws Exception {
     try (ProxyFixture stage = new ProxyFixture()) {
-      stage.sockets = 64 + 5;
+      stage.maxDescriptors = 64 + 5;
       stage.start();
-      stage.script.onRequest = request -> {};
+      stage.policy.onRequest = request -> {};
       for (int i = 0; i < 4; i++) {
-        stage.caller().write(ProxyFixture.get("r" + i, "20"));
+        stage.connectClient().write(ProxyFixture.idempotentRequest("r" + i, "20"));
       }
       takenIn(stage);
-      stage.script.onRequest = request -> stage.script.sendTo(0, request, 0);
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("more", "20"));
-      assertEquals(AttemptOutcome.NOT_SENT, stage.script.result());
+      stage.policy.onRequest = request -> stage.policy.sendTo(0, request, 0);
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("more", "20"));
+      assertEquals(AttemptOutcome.NOT_SENT, stage.policy.nextOutcome());
       assertEquals(502, caller.read().status());
     }
   }
@@ -338,22 +338,22 @@
   @Test
   void anUpstreamThatDrainedAndLeftIsForgotten() throws Exception {
     try (ProxyFixture stage = new ProxyFixture()) {
-      stage.script.onStart = () -> stage.script.actions.watchEndpoints(true);
+      stage.policy.onStart = () -> stage.policy.actions.watchEndpoints(true);
       stage.start();
-      HttpPeer watch = tell(stage, ProxyFixture.entry(9, "127.0.0.1:9", "up"));
+      HttpPeer watch = tell(stage, ProxyFixture.endpointEntry(9, "127.0.0.1:9", "up"));
       String[] states = {"draining", "removed"};
       for (int i = 0; i < states.length; i++) {
         watch.read();
         watch.write(
-            ProxyFixture.ok(
-                ProxyFixture.roster(
-                    43 + i, false, ProxyFixture.entry(9, "127.0.0.1:9", states[i]))));
-        assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.next(stage.script.changes));
+            ProxyFixture.okResponse(
+                ProxyFixture.endpointList(
+                    43 + i, false, ProxyFixture.endpointEntry(9, "127.0.0.1:9", states[i]))));
+        assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(stage.policy.updates));
       }
       int remembered =
-          stage.node.onLoop(
+          stage.server.onLoop(
               (frontend, upstreams) -> {
-                upstreams.sweep(stage.node.now() + 60_000);
+                upstreams.sweep(stage.server.now() + 60_000);
                 return upstreams.remembered();
               });
       assertEquals(0, remembered);
@@ -373,25 +373,25 @@
   @Test
   void callersThatRestGiveWayToACallOfAnother() throws Exception {
     try (ProxyFixture stage = new ProxyFixture()) {
-      stage.sockets = 64 + 5;
+      stage.maxDescriptors = 64 + 5;
       stage.start();
       List<HttpPeer> resting = new ArrayList<>();
       for (int i = 0; i < 4; i++) {
-        resting.add(stage.caller());
+        resting.add(stage.connectClient());
         resting.get(i).write("GET /_health HTTP/1.1\r\n\r\n");
         resting.get(i).read();
       }
-      stage.servesStill();
-      assertTrue(resting.get(0).ended());
+      stage.assertStillServes();
+      assertTrue(resting.get(0).isClosedByPeer());
     }
   }
 
   @Test
   void anAnswerOverTheLimitIsAnErrorAndOneAtItIsNot() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
+      HttpPeer caller = stage.connectClient();
       for (int extra = 0; extra < 2; extra++) {
-        caller.write(ProxyFixture.get("1", "10"));
+        caller.write(ProxyFixture.idempotentRequest("1", "10"));
         HttpPeer upstream = stage.upstreams.get(0).accept();
         upstream.read();
         String body = "b".repeat(ProtocolHeaders.MAX_BODY_BYTES + extra);
@@ -404,23 +404,24 @@
         } catch (IOException e) {
           assertEquals(1, extra, "only the answer that is too large may be cut off");
         }
-        assertEquals(extra == 0 ? AttemptOutcome.OK : AttemptOutcome.ERROR, stage.script.result());
+        assertEquals(
+            extra == 0 ? AttemptOutcome.OK : AttemptOutcome.ERROR, stage.policy.nextOutcome());
         assertEquals(extra == 0 ? 200 : 502, caller.read().status());
       }
-      stage.servesStill();
+      stage.assertStillServes();
     }
   }
 
   @Test
   void aSilentUpstreamTimesOutAndItsConnectionIsClosed() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      stage.script.onRequest = request -> stage.script.sendTo(0, request, 100);
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("1", "x"));
+      stage.policy.onRequest = request -> stage.policy.sendTo(0, request, 100);
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("1", "x"));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       assertNotNull(upstream.read());
-      assertTrue(upstream.ended());
-      assertEquals(AttemptOutcome.TIMEOUT, stage.script.result());
+      assertTrue(upstream.isClosedByPeer());
+      assertEquals(AttemptOutcome.TIMEOUT, stage.policy.nextOutcome());
       assertEquals(502, caller.read().status());
     }
   }
@@ -429,118 +430,117 @@
   void aCancelledAttemptClosesItsConnection() throws Exception {
     try (ProxyFixture stage = new ProxyFixture(2).start()) {
       // A second copy: the first answer wins, the other is called off.
-      stage.script.onRequest =
+      stage.policy.onRequest =
           request -> {
-            stage.script.sendTo(0, request, 0);
-            stage.script.sendTo(1, request, 0);
+            stage.policy.sendTo(0, request, 0);
+            stage.policy.sendTo(1, request, 0);
           };
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("1", "10"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("1", "10"));
       HttpPeer slow = stage.upstreams.get(0).accept();
       slow.read();
       HttpPeer fast = stage.upstreams.get(1).accept();
       fast.read();
-      stage.script.onOutcome =
-          outcome -> stage.script.actions.cancelAttempt(outcome.requestId(), 0);
-      fast.write(ProxyFixture.ok("fast"));
+      stage.policy.onResult = outcome -> stage.policy.actions.cancelAttempt(outcome.requestId(), 0);
+      fast.write(ProxyFixture.okResponse("fast"));
       assertEquals("fast", caller.read().body());
-      assertEquals(AttemptOutcome.OK, stage.script.result());
-      assertTrue(slow.ended());
-      assertEquals(AttemptOutcome.CANCELLED, stage.script.result());
+      assertEquals(AttemptOutcome.OK, stage.policy.nextOutcome());
+      assertTrue(slow.isClosedByPeer());
+      assertEquals(AttemptOutcome.CANCELLED, stage.policy.nextOutcome());
     }
   }
 
   @Test
   void anAnswerAndItsTimeoutAtOneInstantAreOneOutcome() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      stage.script.onRequest = request -> stage.script.sendTo(0, request, 500);
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("1", "x"));
+      stage.policy.onRequest = request -> stage.policy.sendTo(0, request, 500);
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("1", "x"));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
-      double sent = stage.node.now();
-      stage.node.onLoop(
+      double sent = stage.server.now();
+      stage.server.onLoop(
           (frontend, upstreams) -> {
             try {
-              upstream.write(ProxyFixture.ok("served"));
+              upstream.write(ProxyFixture.okResponse("served"));
             } catch (IOException e) {
               throw new java.io.UncheckedIOException(e);
             }
             // Both are there when the node looks again.
-            while (stage.node.now() < sent + 500) {
+            while (stage.server.now() < sent + 500) {
               Thread.onSpinWait();
             }
             return null;
           });
-      AttemptOutcome result = stage.script.result();
+      AttemptOutcome result = stage.policy.nextOutcome();
       assertTrue(
           result == AttemptOutcome.OK || result == AttemptOutcome.TIMEOUT, "ended as " + result);
       assertEquals(result == AttemptOutcome.OK ? 200 : 502, caller.read().status());
       takenIn(stage);
-      assertTrue(stage.script.outcomes.isEmpty());
+      assertTrue(stage.policy.results.isEmpty());
     }
   }
 
   @Test
   void aCancelThatCrossesAnAnswerEndsTheAttemptOnce() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("1", "x"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("1", "x"));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
-      stage.node.onLoop(
+      stage.server.onLoop(
           (frontend, upstreams) -> {
             try {
-              upstream.write(ProxyFixture.ok("crosses"));
+              upstream.write(ProxyFixture.okResponse("crosses"));
             } catch (IOException e) {
               throw new java.io.UncheckedIOException(e);
             }
-            stage.script.actions.cancelAttempt(1, 0);
+            stage.policy.actions.cancelAttempt(1, 0);
             return null;
           });
-      assertEquals(AttemptOutcome.CANCELLED, stage.script.result());
+      assertEquals(AttemptOutcome.CANCELLED, stage.policy.nextOutcome());
       assertEquals(502, caller.read().status());
-      assertTrue(upstream.ended());
-      stage.servesStill();
-      assertEquals(AttemptOutcome.OK, stage.script.result());
-      assertTrue(stage.script.outcomes.isEmpty());
+      assertTrue(upstream.isClosedByPeer());
+      stage.assertStillServes();
+      assertEquals(AttemptOutcome.OK, stage.policy.nextOutcome());
+      assertTrue(stage.policy.results.isEmpty());
     }
   }
 
   @Test
   void aConnectionIsUsedAgainWhileItIsAlive() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
+      HttpPeer caller = stage.connectClient();
       HttpPeer upstream = null;
       for (int i = 0; i < 3; i++) {
-        caller.write(ProxyFixture.get("r" + i, "10"));
+        caller.write(ProxyFixture.idempotentRequest("r" + i, "10"));
         upstream = upstream == null ? stage.upstreams.get(0).accept() : upstream;
         assertEquals("r" + i, upstream.read().header("X-Txn"));
-        upstream.write(ProxyFixture.ok("a" + i));
+        upstream.write(ProxyFixture.okResponse("a" + i));
         assertEquals("a" + i, caller.read().body());
       }
-      assertEquals(0, stage.upstreams.get(0).waiting());
+      assertEquals(0, stage.upstreams.get(0).pendingConnections());
     }
   }
 
   @Test
   void aSecondAnswerThatComesLateNeverReachesTheNextRequest() throws Exception {
     try (ProxyFixture stage = new ProxyFixture()) {
-      stage.settle = HttpPeer.PATIENCE_MS;
+      stage.settleMillis = HttpPeer.TIMEOUT_MILLIS;
       stage.start();
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("1", "10"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("1", "10"));
       HttpPeer first = stage.upstreams.get(0).accept();
       first.read();
-      first.write(ProxyFixture.ok("one"));
+      first.write(ProxyFixture.okResponse("one"));
       assertEquals("one", caller.read().body());
-      caller.write(ProxyFixture.get("2", "10"));
+      caller.write(ProxyFixture.idempotentRequest("2", "10"));
       // What is to come on the first one is not known yet.
       HttpPeer second = stage.upstreams.get(0).accept();
       assertEquals("2", second.read().header("X-Txn"));
-      first.write(ProxyFixture.ok("one"));
-      assertTrue(first.ended());
-      second.write(ProxyFixture.ok("two"));
+      first.write(ProxyFixture.okResponse("one"));
+      assertTrue(first.isClosedByPeer());
+      second.write(ProxyFixture.okResponse("two"));
       assertEquals("two", caller.read().body());
     }
   }
@@ -548,25 +548,25 @@
   @Test
   void aConnectionThatHasSettledIsUsedAheadOfANewOne() throws Exception {
     try (ProxyFixture stage = new ProxyFixture()) {
-      stage.settle = 1e9;
+      stage.settleMillis = 1e9;
       stage.start();
-      HttpPeer caller = stage.caller();
+      HttpPeer caller = stage.connectClient();
       HttpPeer[] both = new HttpPeer[2];
       for (int i = 0; i < 2; i++) {
-        caller.write(ProxyFixture.get("r" + i, "10"));
+        caller.write(ProxyFixture.idempotentRequest("r" + i, "10"));
         both[i] = stage.upstreams.get(0).accept();
         both[i].read();
-        both[i].write(ProxyFixture.ok("a" + i));
+        both[i].write(ProxyFixture.okResponse("a" + i));
         assertEquals("a" + i, caller.read().body());
       }
-      stage.node.onLoop(
+      stage.server.onLoop(
           (frontend, upstreams) -> {
             upstreams.settleFor(0);
             return null;
           });
-      caller.write(ProxyFixture.get("r2", "10"));
+      caller.write(ProxyFixture.idempotentRequest("r2", "10"));
       assertEquals("r2", both[1].read().header("X-Txn"));
-      assertEquals(0, stage.upstreams.get(0).waiting());
+      assertEquals(0, stage.upstreams.get(0).pendingConnections());
     }
   }
 
@@ -574,16 +574,16 @@
   void whatMustNotBeSentAgainUsesAKeptConnectionWhileNoneBreaks() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
       trustNoRest(stage);
-      HttpPeer caller = stage.caller();
+      HttpPeer caller = stage.connectClient();
       HttpPeer upstream = null;
       for (int i = 0; i < 3; i++) {
-        caller.write(ProxyFixture.spend("s" + i, "x"));
+        caller.write(ProxyFixture.atMostOnceRequest("s" + i, "x"));
         upstream = upstream == null ? stage.upstreams.get(0).accept() : upstream;
         assertEquals("s" + i, upstream.read().header("X-Txn"));
-        upstream.write(ProxyFixture.ok("a" + i));
+        upstream.write(ProxyFixture.okResponse("a" + i));
         assertEquals("a" + i, caller.read().body());
       }
-      assertEquals(0, stage.upstreams.get(0).waiting());
+      assertEquals(0, stage.upstreams.get(0).pendingConnections());
     }
   }
 
@@ -591,34 +591,34 @@
   void onceOneBrokeAtRestWhatMustNotBeSentAgainGetsANewConnection() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
       trustNoRest(stage);
-      stage.node.onLoop(
+      stage.server.onLoop(
           (frontend, upstreams) -> {
             upstreams.brokeAtRest(400);
             return null;
           });
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("s1", "x"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("s1", "x"));
       HttpPeer first = stage.upstreams.get(0).accept();
       first.read();
-      first.write(ProxyFixture.ok("a"));
+      first.write(ProxyFixture.okResponse("a"));
       assertEquals("a", caller.read().body());
-      caller.write(ProxyFixture.spend("s2", "x"));
+      caller.write(ProxyFixture.atMostOnceRequest("s2", "x"));
       HttpPeer second = stage.upstreams.get(0).accept();
       assertEquals("s2", second.read().header("X-Txn"));
       // The new one takes the place of the old one, so that idle connections don't pile up.
-      assertTrue(first.ended());
-      second.write(ProxyFixture.ok("b"));
+      assertTrue(first.isClosedByPeer());
+      second.write(ProxyFixture.okResponse("b"));
       assertEquals("b", caller.read().body());
-      caller.write(ProxyFixture.get("g1", "10"));
+      caller.write(ProxyFixture.idempotentRequest("g1", "10"));
       assertEquals("g1", second.read().header("X-Txn"));
-      second.write(ProxyFixture.ok("c"));
+      second.write(ProxyFixture.okResponse("c"));
       assertEquals("c", caller.read().body());
     }
   }
 
   /** Any rest is too long for a connection to be young. */
   private static void trustNoRest(ProxyFixture stage) throws InterruptedException {
-    stage.node.onLoop(
+    stage.server.onLoop(
         (frontend, upstreams) -> {
           upstreams.trustYoung(0);
           return null;
@@ -674,24 +674,24 @@
   @ValueSource(booleans = {false, true})
   void aPooledConnectionThatItsUpstreamClosedIsNotUsed(boolean abruptly) throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("1", "10"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("1", "10"));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
-      upstream.write(ProxyFixture.ok("one"));
+      upstream.write(ProxyFixture.okResponse("one"));
       caller.read();
       if (abruptly) {
         upstream.reset();
       } else {
         upstream.close();
       }
-      caller.write(ProxyFixture.get("2", "10"));
+      caller.write(ProxyFixture.idempotentRequest("2", "10"));
       HttpPeer fresh = stage.upstreams.get(0).accept();
       assertEquals("2", fresh.read().header("X-Txn"));
-      fresh.write(ProxyFixture.ok("two"));
+      fresh.write(ProxyFixture.okResponse("two"));
       assertEquals("two", caller.read().body());
-      assertEquals(AttemptOutcome.OK, stage.script.result());
-      assertEquals(AttemptOutcome.OK, stage.script.result());
+      assertEquals(AttemptOutcome.OK, stage.policy.nextOutcome());
+      assertEquals(AttemptOutcome.OK, stage.policy.nextOutcome());
     }
   }
 
@@ -699,13 +699,13 @@
   void aConnectionThatNeverComesUpNeverRan() throws Exception {
     try (ProxyFixture stage = new ProxyFixture();
         FullBacklogListener full = new FullBacklogListener()) {
-      stage.connectTimeout = 200;
-      stage.script.onStart = () -> stage.script.actions.watchEndpoints(true);
+      stage.connectTimeoutMillis = 200;
+      stage.policy.onStart = () -> stage.policy.actions.watchEndpoints(true);
       stage.start();
-      tell(stage, ProxyFixture.entry(9, full.address(), "up"));
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("1", "x"));
-      assertEquals(AttemptOutcome.CONNECT_FAILED, stage.script.result());
+      tell(stage, ProxyFixture.endpointEntry(9, full.address(), "up"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("1", "x"));
+      assertEquals(AttemptOutcome.CONNECT_FAILED, stage.policy.nextOutcome());
       assertEquals(502, caller.read().status());
     }
   }
@@ -714,21 +714,21 @@
   void aConnectionThatComesUpLateIsDialledOnceMore() throws Exception {
     try (ProxyFixture stage = new ProxyFixture();
         FullBacklogListener full = new FullBacklogListener()) {
-      stage.connectTimeout = 15_000;
-      stage.script.onStart = () -> stage.script.actions.watchEndpoints(true);
+      stage.connectTimeoutMillis = 15_000;
+      stage.policy.onStart = () -> stage.policy.actions.watchEndpoints(true);
       stage.start();
       // As after many that came up in no time; the first is dialled once more after 10 ms.
-      stage.node.onLoop(
+      stage.server.onLoop(
           (frontend, upstreams) -> {
             upstreams.connectTime().set(0.1);
             upstreams.settleFor(0);
             return null;
           });
-      tell(stage, ProxyFixture.entry(9, full.address(), "up"));
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("1", "9"));
+      tell(stage, ProxyFixture.endpointEntry(9, full.address(), "up"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("1", "9"));
       // Both hang until the backlog has room.
-      while (stage.node.onLoop((frontend, upstreams) -> upstreams.dialling()) < 2) {
+      while (stage.server.onLoop((frontend, upstreams) -> upstreams.dialling()) < 2) {
         Thread.onSpinWait();
       }
       List<HttpPeer> up = new CopyOnWriteArrayList<>();
@@ -738,18 +738,18 @@
       HttpPeer carries = null;
       while (carries == null) {
         for (HttpPeer one : up) {
-          carries = one.unread() > 0 ? one : carries;
+          carries = one.unreadBytes() > 0 ? one : carries;
         }
       }
       carries.read();
-      carries.write(ProxyFixture.ok("served"));
+      carries.write(ProxyFixture.okResponse("served"));
       assertEquals(200, caller.read().status());
-      assertEquals(AttemptOutcome.OK, stage.script.result());
-      while (stage.node.onLoop((frontend, upstreams) -> upstreams.dialling()) > 0) {
+      assertEquals(AttemptOutcome.OK, stage.policy.nextOutcome());
+      while (stage.server.onLoop((frontend, upstreams) -> upstreams.dialling()) > 0) {
         Thread.onSpinWait();
       }
       for (HttpPeer one : up) {
-        assertEquals(0, one.unread());
+        assertEquals(0, one.unreadBytes());
         one.close();
       }
     }
@@ -758,7 +758,7 @@
   private static void acceptAll(FullBacklogListener full, List<HttpPeer> up) {
     try {
       while (true) {
-        up.add(full.acceptLast());
+        up.add(full.acceptAfterBacklog());
       }
     } catch (Exception e) {
       // The listening socket was closed.
@@ -770,28 +770,29 @@
   void anAttemptThatWaitsToConnectDoesNotBeginAfterTheGraceOfADrain(int grace) throws Exception {
     try (ProxyFixture stage = new ProxyFixture();
         FullBacklogListener full = new FullBacklogListener()) {
-      stage.connectTimeout = 15_000;
+      stage.connectTimeoutMillis = 15_000;
       // Half of it is left to the news, which may have been there for so long.
-      stage.drainGrace = grace;
-      stage.script.onStart = () -> stage.script.actions.watchEndpoints(true);
+      stage.drainGraceMillis = grace;
+      stage.policy.onStart = () -> stage.policy.actions.watchEndpoints(true);
       stage.start();
-      HttpPeer watch = tell(stage, ProxyFixture.entry(9, full.address(), "up"));
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("1", "x"));
+      HttpPeer watch = tell(stage, ProxyFixture.endpointEntry(9, full.address(), "up"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("1", "x"));
       // The node has the request once it has answered what came after it on its one thread.
-      HttpPeer other = stage.caller();
+      HttpPeer other = stage.connectClient();
       other.write("GET /_health HTTP/1.1\r\n\r\n");
       other.read();
       watch.read();
       watch.write(
-          ProxyFixture.ok(
-              ProxyFixture.roster(43, false, ProxyFixture.entry(9, full.address(), "draining"))));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.next(stage.script.changes));
+          ProxyFixture.okResponse(
+              ProxyFixture.endpointList(
+                  43, false, ProxyFixture.endpointEntry(9, full.address(), "draining"))));
+      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(stage.policy.updates));
       // The kernel tries to connect again only after a second, long past the grace.
-      try (HttpPeer late = full.acceptLast()) {
-        assertTrue(late.ended(), "the request was written after the grace");
+      try (HttpPeer late = full.acceptAfterBacklog()) {
+        assertTrue(late.isClosedByPeer(), "the request was written after the grace");
       }
-      assertEquals(AttemptOutcome.CONNECT_FAILED, stage.script.result());
+      assertEquals(AttemptOutcome.CONNECT_FAILED, stage.policy.nextOutcome());
       assertEquals(502, caller.read().status());
     }
   }
@@ -801,12 +802,12 @@
   void anAttemptThatWaitsToConnectDoesNotBeginOnceItsClientHasLeft(boolean reset) throws Exception {
     try (ProxyFixture stage = new ProxyFixture();
         FullBacklogListener full = new FullBacklogListener()) {
-      stage.connectTimeout = 15_000;
-      stage.script.onStart = () -> stage.script.actions.watchEndpoints(true);
+      stage.connectTimeoutMillis = 15_000;
+      stage.policy.onStart = () -> stage.policy.actions.watchEndpoints(true);
       stage.start();
-      tell(stage, ProxyFixture.entry(9, full.address(), "up"));
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("1", "x"));
+      tell(stage, ProxyFixture.endpointEntry(9, full.address(), "up"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("1", "x"));
       takenIn(stage);
       if (reset) {
         caller.reset();
@@ -814,8 +815,8 @@
         caller.close();
       }
       // The module, which may not be allowed to, calls nothing off; the connection still hangs.
-      assertEquals(AttemptOutcome.NOT_SENT, stage.script.result());
-      assertEquals(1, ScriptedPolicy.next(stage.script.gone));
+      assertEquals(AttemptOutcome.NOT_SENT, stage.policy.nextOutcome());
+      assertEquals(1, ScriptedPolicy.takeNext(stage.policy.disconnected));
     }
   }
 
@@ -824,19 +825,19 @@
       throws Exception {
     try (ProxyFixture stage = new ProxyFixture();
         FullBacklogListener full = new FullBacklogListener()) {
-      stage.connectTimeout = 15_000;
-      stage.script.onStart = () -> stage.script.actions.watchEndpoints(true);
+      stage.connectTimeoutMillis = 15_000;
+      stage.policy.onStart = () -> stage.policy.actions.watchEndpoints(true);
       stage.start();
-      tell(stage, ProxyFixture.entry(9, full.address(), "up"));
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.spend("1", "x"));
+      tell(stage, ProxyFixture.endpointEntry(9, full.address(), "up"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.atMostOnceRequest("1", "x"));
       takenIn(stage);
       HttpPeer late =
-          stage.node.onLoop(
+          stage.server.onLoop(
               (frontend, upstreams) -> {
                 try {
                   // The node sees both only afterwards, and what came first is handled first.
-                  HttpPeer up = full.acceptLast();
+                  HttpPeer up = full.acceptAfterBacklog();
                   caller.close();
                   return up;
                 } catch (Exception e) {
@@ -844,10 +845,10 @@
                 }
               });
       try (late) {
-        assertTrue(late.ended(), "the request was written for nobody");
+        assertTrue(late.isClosedByPeer(), "the request was written for nobody");
       }
-      assertEquals(AttemptOutcome.NOT_SENT, stage.script.result());
-      assertEquals(1, ScriptedPolicy.next(stage.script.gone));
+      assertEquals(AttemptOutcome.NOT_SENT, stage.policy.nextOutcome());
+      assertEquals(1, ScriptedPolicy.takeNext(stage.policy.disconnected));
     }
   }
 
@@ -855,105 +856,114 @@
   void anAttemptThatWaitsToConnectDoesNotBeginWhereItsUpstreamWasBefore() throws Exception {
     try (ProxyFixture stage = new ProxyFixture();
         FullBacklogListener full = new FullBacklogListener()) {
-      stage.connectTimeout = 15_000;
-      stage.script.onStart = () -> stage.script.actions.watchEndpoints(true);
+      stage.connectTimeoutMillis = 15_000;
+      stage.policy.onStart = () -> stage.policy.actions.watchEndpoints(true);
       stage.start();
-      HttpPeer watch = tell(stage, ProxyFixture.entry(9, full.address(), "up"));
-      stage.caller().write(ProxyFixture.spend("1", "x"));
+      HttpPeer watch = tell(stage, ProxyFixture.endpointEntry(9, full.address(), "up"));
+      stage.connectClient().write(ProxyFixture.atMostOnceRequest("1", "x"));
       takenIn(stage);
       watch.read();
       // It drains, goes, and is back under its id elsewhere: the old address may be another's now.
       watch.write(
-          ProxyFixture.ok(
-              ProxyFixture.roster(43, false, ProxyFixture.entry(9, full.address(), "draining"))));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.next(stage.script.changes));
+          ProxyFixture.okResponse(
+              ProxyFixture.endpointList(
+                  43, false, ProxyFixture.endpointEntry(9, full.address(), "draining"))));
+      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(stage.policy.updates));
       watch.read();
       watch.write(
-          ProxyFixture.ok(
-              ProxyFixture.roster(
-                  44, false, ProxyFixture.entry(9, stage.upstreams.get(0).address(), "up"))));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.next(stage.script.changes));
-      try (HttpPeer late = full.acceptLast()) {
-        assertTrue(late.ended(), "the request was written to the old address");
+          ProxyFixture.okResponse(
+              ProxyFixture.endpointList(
+                  44,
+                  false,
+                  ProxyFixture.endpointEntry(9, stage.upstreams.get(0).address(), "up"))));
+      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(stage.policy.updates));
+      try (HttpPeer late = full.acceptAfterBacklog()) {
+        assertTrue(late.isClosedByPeer(), "the request was written to the old address");
       }
-      assertEquals(AttemptOutcome.CONNECT_FAILED, stage.script.result());
-      stage.servesStill();
+      assertEquals(AttemptOutcome.CONNECT_FAILED, stage.policy.nextOutcome());
+      stage.assertStillServes();
     }
   }
 
   @Test
   void aConnectionToWhereAnUpstreamWasIsNotKeptForItsNextRequest() throws Exception {
     try (ProxyFixture stage = new ProxyFixture(2)) {
-      stage.script.onStart = () -> stage.script.actions.watchEndpoints(true);
+      stage.policy.onStart = () -> stage.policy.actions.watchEndpoints(true);
       stage.start();
-      HttpPeer watch = tell(stage, ProxyFixture.entry(9, stage.upstreams.get(1).address(), "up"));
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("1", "10"));
+      HttpPeer watch =
+          tell(stage, ProxyFixture.endpointEntry(9, stage.upstreams.get(1).address(), "up"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("1", "10"));
       HttpPeer old = stage.upstreams.get(1).accept();
       old.read();
       watch.read();
       watch.write(
-          ProxyFixture.ok(
-              ProxyFixture.roster(
-                  43, false, ProxyFixture.entry(9, stage.upstreams.get(0).address(), "up"))));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.next(stage.script.changes));
-      old.write(ProxyFixture.ok("before"));
+          ProxyFixture.okResponse(
+              ProxyFixture.endpointList(
+                  43,
+                  false,
+                  ProxyFixture.endpointEntry(9, stage.upstreams.get(0).address(), "up"))));
+      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(stage.policy.updates));
+      old.write(ProxyFixture.okResponse("before"));
       assertEquals("before", caller.read().body());
-      assertTrue(old.ended());
-      stage.servesStill();
+      assertTrue(old.isClosedByPeer());
+      stage.assertStillServes();
     }
   }
 
   @Test
   void aProbeBringsTheLoadReport() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      stage.script.onRequest =
+      stage.policy.onRequest =
           request -> {
-            stage.script.actions.checkHealth(stage.script.upstreams.get(0).id());
-            stage.script.actions.reject(request.id(), 0);
+            stage.policy.actions.checkHealth(stage.policy.endpoints.get(0).id());
+            stage.policy.actions.reject(request.id(), 0);
           };
-      HttpPeer caller = stage.caller();
-      caller.write(ProxyFixture.get("1", "10"));
+      HttpPeer caller = stage.connectClient();
+      caller.write(ProxyFixture.idempotentRequest("1", "10"));
       assertEquals(503, caller.read().status());
       HttpPeer upstream = stage.upstreams.get(0).accept();
-      assertEquals("GET /_load HTTP/1.1", upstream.read().first());
-      upstream.write(ProxyFixture.ok("TEXT queue=2, eps=0.5, latency_ms=61"));
-      assertEquals("OK [2.0, 0.5, 61.0]", ScriptedPolicy.next(stage.script.probes));
+      assertEquals("GET /_load HTTP/1.1", upstream.read().startLine());
+      upstream.write(ProxyFixture.okResponse("TEXT queue=2, eps=0.5, latency_ms=61"));
+      assertEquals("OK [2.0, 0.5, 61.0]", ScriptedPolicy.takeNext(stage.policy.healthChecks));
     }
   }
 
   @Test
   void idleConnectionsGiveWayToCallersWhenDescriptorsRunShort() throws Exception {
     try (ProxyFixture stage = new ProxyFixture(6)) {
-      stage.sockets = 64 + 10;
+      stage.maxDescriptors = 64 + 10;
       stage.start();
-      HttpPeer caller = stage.caller();
+      HttpPeer caller = stage.connectClient();
       List<HttpPeer> idle = new ArrayList<>();
       for (int i = 0; i < 6; i++) {
         int to = i;
-        stage.script.onRequest = request -> stage.script.sendTo(to, request, 0);
-        caller.write(ProxyFixture.get("r" + i, "10"));
+        stage.policy.onRequest = request -> stage.policy.sendTo(to, request, 0);
+        caller.write(ProxyFixture.idempotentRequest("r" + i, "10"));
         idle.add(stage.upstreams.get(i).accept());
         idle.get(i).read();
-        idle.get(i).write(ProxyFixture.ok("a"));
+        idle.get(i).write(ProxyFixture.okResponse("a"));
         caller.read();
       }
       for (int i = 0; i < 6; i++) {
-        HttpPeer more = stage.caller();
+        HttpPeer more = stage.connectClient();
         more.write("GET /_health HTTP/1.1\r\n\r\n");
         assertEquals(200, more.read().status());
       }
-      assertTrue(idle.get(0).ended() && idle.get(1).ended() && idle.get(2).ended());
+      assertTrue(
+          idle.get(0).isClosedByPeer()
+              && idle.get(1).isClosedByPeer()
+              && idle.get(2).isClosedByPeer());
     }
   }
 
   /** Answers the node's first watch with a whole list of one upstream. */
   private static HttpPeer tell(ProxyFixture stage, String entry) throws Exception {
-    ScriptedPolicy.next(stage.script.changes);
+    ScriptedPolicy.takeNext(stage.policy.updates);
     HttpPeer watch = stage.discovery.accept();
     watch.read();
-    watch.write(ProxyFixture.ok(ProxyFixture.roster(42, true, entry)));
-    assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.next(stage.script.changes));
+    watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, true, entry)));
+    assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
     return watch;
   }
 }
