--- a/src/main/java/loadbalancer/policy/Attempt.java
+++ b/src/main/java/loadbalancer/policy/Attempt.java
@@ -2,31 +2,89 @@
 
 import loadbalancer.model.AttemptOutcome;
 
-/** One attempt; {@code result} is null while it is out. */
+/** One attempt of a request, and what has happened to it so far. */
 final class Attempt {
-  final InFlightRequest request;
-  final EndpointStatistics endpoint;
-  final int number;
-  final double sentAt;
 
-  /** Own attempts that were in flight there when it was sent. */
-  final int concurrencyAtSend;
+  private final InFlightRequest request;
+  private final EndpointStatistics endpoint;
+  private final int number;
+  private final double sentAt;
+  private final int concurrencyAtSend;
+  private final double rejectedShareAtSend;
 
-  /** Share of the work asked for that was refused when it was sent. */
-  final double overloadLevelAtSend;
+  /** Null while it is running. */
+  private AttemptOutcome outcome;
 
-  AttemptOutcome outcome;
-  boolean streaming;
+  private boolean streaming;
+  private boolean reportedLate;
 
-  /** Whether it was taken as a sign of overload while it was out. */
-  boolean reportedLate;
-
-  Attempt(InFlightRequest call, EndpointStatistics server, double sentAt, double pressure) {
-    this.request = call;
-    this.endpoint = server;
-    this.number = call.attempts.size();
+  Attempt(
+      InFlightRequest request,
+      EndpointStatistics endpoint,
+      double sentAt,
+      double rejectedShareAtSend) {
+    this.request = request;
+    this.endpoint = endpoint;
+    this.number = request.attempts().size();
     this.sentAt = sentAt;
-    this.concurrencyAtSend = server.inFlight.size();
-    this.overloadLevelAtSend = pressure;
+    this.concurrencyAtSend = endpoint.inFlightCount();
+    this.rejectedShareAtSend = rejectedShareAtSend;
+  }
+
+  InFlightRequest request() {
+    return request;
+  }
+
+  EndpointStatistics endpoint() {
+    return endpoint;
+  }
+
+  /** Its number among the attempts of the request, from 0. */
+  int number() {
+    return number;
+  }
+
+  double sentAtMillis() {
+    return sentAt;
+  }
+
+  /** This instance's attempts in flight at the endpoint when it was sent. */
+  int concurrencyAtSend() {
+    return concurrencyAtSend;
+  }
+
+  /** Share of the arriving work, 0 to 1, that was rejected when it was sent. */
+  double rejectedShareAtSend() {
+    return rejectedShareAtSend;
+  }
+
+  boolean isRunning() {
+    return outcome == null;
+  }
+
+  boolean isStreaming() {
+    return streaming;
+  }
+
+  /** Whether it has counted as a sign of overload while it was running. */
+  boolean isReportedLate() {
+    return reportedLate;
+  }
+
+  /** Whether the endpoint may have acted on it, or still may. */
+  boolean mayHaveRun() {
+    return outcome == null || !outcome.neverRan();
+  }
+
+  void finish(AttemptOutcome result) {
+    outcome = result;
+  }
+
+  void startStreaming() {
+    streaming = true;
+  }
+
+  void reportLate() {
+    reportedLate = true;
   }
 }
--- a/src/main/java/loadbalancer/policy/EndpointStatistics.java
+++ b/src/main/java/loadbalancer/policy/EndpointStatistics.java
@@ -3,122 +3,234 @@
 import java.util.ArrayDeque;
 import loadbalancer.model.Endpoint;
 
-/** What was seen of one server by this instance: sums of evidence that fade, no decisions. */
+/**
+ * One listed endpoint and what this instance has seen of it: decayed evidence, no decisions.
+ *
+ * <p>All sums decay exponentially, so that an endpoint that has recovered is tried again.
+ */
 final class EndpointStatistics {
 
-  Endpoint endpoint;
-  final MachineTypeStatistics machineType;
-
-  /** Own attempts in flight there, oldest first. */
-  final ArrayDeque<Attempt> inFlight = new ArrayDeque<>();
-
-  /** Served latencies relative to what was expected, and how many. */
-  double latencySum;
-
-  double latencyCount;
-
-  /** Own calls in flight there when these were sent. */
-  double concurrencySum;
-
-  /** Calls served and ended there, of all classes and of each. */
-  double served;
-
-  double attempts;
-  final double[] servedByClass;
-  final double[] attemptsByClass;
-
-  /** Whether it belongs to the subset of the fleet that this instance prefers. */
-  boolean inSubset;
-
-  /** Chance of a send that it has earned while cold and that no draw has used. */
-  double warmUpBudget;
-
-  /** Chances of the draws while cold, added up, less the sends. */
-  double accumulatedChance;
+  /** Time in which evidence decays to 1/e. */
+  static final double EVIDENCE_DECAY_MILLIS = 8_000;
+
+  /** Decay is applied no more often than this: it saves processor time. */
+  private static final double DECAY_STEP_MILLIS = 200;
+
+  /** Samples that the mean of the machine type counts for in an endpoint's relative latency. */
+  private static final double LATENCY_PRIOR_SAMPLES = 2;
+
+  /** Attempts that the machine type's served share counts for in an endpoint's. */
+  private static final double MACHINE_TYPE_PRIOR_ATTEMPTS = 2;
+
+  /** Attempts that an endpoint's served share over all classes counts for in that of one class. */
+  private static final double ALL_CLASSES_PRIOR_ATTEMPTS = 1;
+
+  private Endpoint endpoint;
+  private final MachineTypeStatistics machineType;
+  private final ArrayDeque<Attempt> inFlight = new ArrayDeque<>();
+  private double latencySum;
+  private double latencyCount;
+  private double concurrencySum;
+  private double served;
+  private double attempts;
+  private final double[] servedByClass;
+  private final double[] attemptsByClass;
+  private boolean inSubset;
+  private double warmUpBudget;
+  private double accumulatedChance;
+  private double connectionsFullUntil = Double.NEGATIVE_INFINITY;
+  private int consecutiveRejections;
+  private boolean late;
+  private double lateAt = Double.NEGATIVE_INFINITY;
+  private double weight;
+  private double decayedAt;
 
-  /** Until when it is taken to have a full table of connections. */
-  double connectionsFullUntil = Double.NEGATIVE_INFINITY;
+  EndpointStatistics(
+      Endpoint endpoint,
+      MachineTypeStatistics machineType,
+      int requestClassCount,
+      double now,
+      double accumulatedChance) {
+    this.endpoint = endpoint;
+    this.machineType = machineType;
+    this.servedByClass = new double[requestClassCount];
+    this.attemptsByClass = new double[requestClassCount];
+    this.accumulatedChance = accumulatedChance;
+    decayedAt = now;
+  }
 
-  /** Calls that it turned away or did not let connect since it last served one. */
-  int consecutiveRejections;
+  Endpoint endpoint() {
+    return endpoint;
+  }
 
-  /** Whether the last call that told of overload or of its want was late, and when that was. */
-  boolean late;
+  void setEndpoint(Endpoint updated) {
+    endpoint = updated;
+  }
 
-  double lateAt = Double.NEGATIVE_INFINITY;
+  // ---- Attempts in flight
 
-  /** Scratch for one draw. */
-  double weight;
+  int inFlightCount() {
+    return inFlight.size();
+  }
 
-  private double decayedAt;
+  /** The attempt that has been running longest; null if there is none. */
+  Attempt oldestInFlight() {
+    return inFlight.peekFirst();
+  }
 
-  EndpointStatistics(
-      Endpoint listed, MachineTypeStatistics kind, int classes, double now, double sendsDue) {
-    servedByClass = new double[classes];
-    attemptsByClass = new double[classes];
-    this.endpoint = listed;
-    this.machineType = kind;
-    this.accumulatedChance = sendsDue;
-    decayedAt = now;
+  void attemptSent(Attempt attempt) {
+    inFlight.addLast(attempt);
   }
 
-  /** Uses a chance of a send that it has earned while cold: it has had its part of this draw. */
-  void spendWarmUpChance(double chance) {
-    warmUpBudget -= chance;
-    accumulatedChance += chance;
-    weight = 0;
+  void attemptFinished(Attempt attempt) {
+    inFlight.remove(attempt);
   }
 
-  /** Lets all evidence fade with the given time constant, at most once a step. */
-  void decay(double now, double constant, double step) {
-    if (now - decayedAt < step) {
+  // ---- Evidence
+
+  /** Decays all evidence to the present. */
+  void decay(double now) {
+    if (now - decayedAt < DECAY_STEP_MILLIS) {
       return;
     }
-    double kept = Math.exp((decayedAt - now) / constant);
-    latencySum *= kept;
-    latencyCount *= kept;
-    concurrencySum *= kept;
-    served *= kept;
-    attempts *= kept;
+    double factor = Math.exp((decayedAt - now) / EVIDENCE_DECAY_MILLIS);
+    latencySum *= factor;
+    latencyCount *= factor;
+    concurrencySum *= factor;
+    served *= factor;
+    attempts *= factor;
     for (int i = 0; i < attemptsByClass.length; i++) {
-      servedByClass[i] *= kept;
-      attemptsByClass[i] *= kept;
+      servedByClass[i] *= factor;
+      attemptsByClass[i] *= factor;
     }
     decayedAt = now;
   }
 
-  void recordOutcome(int serviceClass, boolean wasServed) {
-    machineType.served.add(wasServed ? 1 : 0);
+  void recordOutcome(int requestClass, boolean wasServed) {
+    machineType.recordOutcome(wasServed);
     attempts += 1;
-    attemptsByClass[serviceClass] += 1;
+    attemptsByClass[requestClass] += 1;
     if (wasServed) {
       served += 1;
-      servedByClass[serviceClass] += 1;
+      servedByClass[requestClass] += 1;
     }
   }
 
-  /**
-   * Latency relative to the mean of all servers, pooled with {@code pool} samples of its machine
-   * type.
-   */
-  double relativeLatency(double pool) {
-    return (latencySum + pool * machineType.latency.value()) / (latencyCount + pool);
+  void recordLatency(double relative, int concurrencyAtSend) {
+    latencySum += relative;
+    latencyCount += 1;
+    concurrencySum += concurrencyAtSend;
+    machineType.recordLatency(relative);
+  }
+
+  /** Ended attempts, decayed. */
+  double attempts() {
+    return attempts;
+  }
+
+  /** Served latency relative to the mean of all endpoints. */
+  double relativeLatency() {
+    return (latencySum + LATENCY_PRIOR_SAMPLES * machineType.relativeLatency())
+        / (latencyCount + LATENCY_PRIOR_SAMPLES);
+  }
+
+  /** Mean number of other attempts in flight when the served ones were sent. */
+  double meanConcurrency() {
+    return concurrencySum / (latencyCount + LATENCY_PRIOR_SAMPLES);
+  }
+
+  /** Share of the attempts of a class that are served, 0 to 1. */
+  double successRate(int requestClass) {
+    double allClasses =
+        (served + MACHINE_TYPE_PRIOR_ATTEMPTS * machineType.servedShare())
+            / (attempts + MACHINE_TYPE_PRIOR_ATTEMPTS);
+    return (servedByClass[requestClass] + ALL_CLASSES_PRIOR_ATTEMPTS * allClasses)
+        / (attemptsByClass[requestClass] + ALL_CLASSES_PRIOR_ATTEMPTS);
+  }
+
+  // ---- Signs of overload
+
+  void recordLateness(boolean wasLate, double now) {
+    late = wasLate;
+    lateAt = now;
+  }
+
+  /** Whether the last attempt that told of overload, or of none, was late. */
+  boolean wasLate() {
+    return late;
+  }
+
+  /** When that was; negative infinity if never. */
+  double latenessKnownAtMillis() {
+    return lateAt;
+  }
+
+  // ---- Rejections and connections
+
+  /** Rejected or unconnected attempts since the last one that was served. */
+  int consecutiveRejections() {
+    return consecutiveRejections;
+  }
+
+  void recordRejection() {
+    consecutiveRejections += 1;
+  }
+
+  void clearRejections() {
+    consecutiveRejections = 0;
+  }
+
+  /** Until when it is taken to accept no more connections. */
+  double connectionsFullUntilMillis() {
+    return connectionsFullUntil;
   }
 
-  /**
-   * Mean of own calls in flight ahead of those served, pooled with {@code pool} that found none.
-   */
-  double concurrency(double pool) {
-    return concurrencySum / (latencyCount + pool);
+  void setConnectionsFullUntilMillis(double untilMillis) {
+    connectionsFullUntil = untilMillis;
+  }
+
+  // ---- Selection
+
+  boolean isInSubset() {
+    return inSubset;
+  }
+
+  void setInSubset(boolean preferred) {
+    inSubset = preferred;
+  }
+
+  /** Its weight in the selection under way. */
+  double weight() {
+    return weight;
+  }
+
+  void setWeight(double newWeight) {
+    weight = newWeight;
+  }
+
+  /** Attempts, as a fraction of one, that it may still be given for the latest request. */
+  double warmUpBudget() {
+    return warmUpBudget;
+  }
+
+  void setWarmUpBudget(double budget) {
+    warmUpBudget = budget;
+  }
+
+  /** Chances of the selections while warming up, added up, less the attempts sent. */
+  double accumulatedChance() {
+    return accumulatedChance;
+  }
+
+  /** Takes it out of the selection under way, for a chance that counts towards its next turn. */
+  void spendWarmUpChance(double chance) {
+    warmUpBudget -= chance;
+    accumulatedChance += chance;
+    weight = 0;
   }
 
-  /**
-   * A class's share of calls served, pooled with that of all classes, and that with its machine
-   * type's.
-   */
-  double success(int serviceClass, double kindPool, double classPool) {
-    double all = (served + kindPool * machineType.served.value()) / (attempts + kindPool);
-    return (servedByClass[serviceClass] + classPool * all)
-        / (attemptsByClass[serviceClass] + classPool);
+  /** Its turn is used. */
+  void takeTurn() {
+    accumulatedChance -= 1;
   }
 }
--- a/src/main/java/loadbalancer/policy/ExponentialMovingAverage.java
+++ b/src/main/java/loadbalancer/policy/ExponentialMovingAverage.java
@@ -1,15 +1,17 @@
 package loadbalancer.policy;
 
-/** An average that forgets: its first samples weigh more, down to a steady gain. */
+/** An average whose gain falls from one half to a constant, so that the first samples count. */
 final class ExponentialMovingAverage {
 
-  private final double leastGain;
+  private static final double FIRST_GAIN = 0.5;
+
+  private final double minGain;
   private double value;
-  private double gain = 0.5;
+  private double gain = FIRST_GAIN;
 
-  ExponentialMovingAverage(double first, double leastGain) {
-    value = first;
-    this.leastGain = leastGain;
+  ExponentialMovingAverage(double initial, double minGain) {
+    value = initial;
+    this.minGain = minGain;
   }
 
   double value() {
@@ -18,6 +20,6 @@
 
   void add(double sample) {
     value += gain * (sample - value);
-    gain = Math.max(leastGain, gain / (1 + gain));
+    gain = Math.max(minGain, gain / (1 + gain));
   }
 }
--- a/src/main/java/loadbalancer/policy/InFlightRequest.java
+++ b/src/main/java/loadbalancer/policy/InFlightRequest.java
@@ -6,63 +6,164 @@
 import loadbalancer.model.ClientRequest;
 import loadbalancer.model.RequestClass;
 
-/** A request being worked on, with its attempts: what happened, no decisions. */
+/** A request that is not settled, with its attempts: state only, no decisions. */
 final class InFlightRequest {
 
-  final ClientRequest request;
-  final RequestClass requestClass;
-  final RequestClassStatistics statistics;
-  final long id;
-  final double arrivedAt;
-  final List<Attempt> attempts = new ArrayList<>(2);
+  /** Share of the expected latency that grows with the request's cost; the rest is queueing. */
+  private static final double COST_DEPENDENT_SHARE = 0.5;
 
-  /**
-   * The unfinished requests of its key in order of arrival, itself among them; null if it is free.
-   */
-  ArrayDeque<InFlightRequest> keyQueue;
+  private final ClientRequest request;
+  private final RequestClass requestClass;
+  private final RequestClassStatistics statistics;
+  private final long id;
+  private final double arrivedAt;
+  private final double usefulUntil;
+  private final List<Attempt> attempts = new ArrayList<>(2);
 
-  /** Until when an attempt that was given up may still be running. */
-  double settlesAt = Double.NEGATIVE_INFINITY;
+  /** The unsettled requests of its key in order of arrival, this one included; null if unkeyed. */
+  private ArrayDeque<InFlightRequest> keyQueue;
 
-  /** Until when it is held for want of a server. */
-  double queuedUntil;
+  private double settlesAt = Double.NEGATIVE_INFINITY;
+  private double queuedUntil;
+  private int running;
+  private boolean done;
+  private boolean streaming;
 
-  /** When an answer stops being worth its work. */
-  double usefulUntil;
-
-  int running;
-  boolean done;
-  boolean streaming;
-
-  InFlightRequest(ClientRequest request, RequestClassStatistics record, double arrivedAt) {
+  InFlightRequest(ClientRequest request, RequestClassStatistics statistics, double arrivedAt) {
     this.request = request;
-    this.statistics = record;
-    this.requestClass = record.type;
+    this.statistics = statistics;
+    this.requestClass = statistics.type();
     this.id = request.id();
     this.arrivedAt = arrivedAt;
+    this.usefulUntil = endOfUse(request, requestClass, arrivedAt);
+  }
+
+  /** A late response without value is not worth its work: the objective is then the deadline. */
+  private static double endOfUse(ClientRequest request, RequestClass type, double arrivedAt) {
+    if (type.lateResponseValue() > 0) {
+      return request.deadlineMillis();
+    }
+    double objectiveMillis =
+        type.latencyObjectiveMillis() + type.objectivePerCost() * request.costMillis();
+    return Math.min(
+        request.deadlineMillis(), arrivedAt + Math.min(type.deadlineMillis(), objectiveMillis));
+  }
+
+  ClientRequest request() {
+    return request;
+  }
+
+  RequestClass requestClass() {
+    return requestClass;
+  }
+
+  RequestClassStatistics statistics() {
+    return statistics;
+  }
+
+  long id() {
+    return id;
+  }
+
+  double arrivedAtMillis() {
+    return arrivedAt;
+  }
+
+  /** When a response stops being worth its work. */
+  double usefulUntilMillis() {
+    return usefulUntil;
+  }
+
+  List<Attempt> attempts() {
+    return attempts;
+  }
+
+  void addAttempt(Attempt attempt) {
+    attempts.add(attempt);
+    running++;
+  }
+
+  void attemptFinished() {
+    running--;
+  }
+
+  boolean hasRunningAttempt() {
+    return running > 0;
   }
 
-  /** The request's hinted work relative to the mean of its class. */
+  /** Whether the final response has been given or is no longer owed. */
+  boolean isDone() {
+    return done;
+  }
+
+  void markDone() {
+    done = true;
+  }
+
+  /** Whether a response to the client has begun. */
+  boolean isStreaming() {
+    return streaming;
+  }
+
+  void startStreaming() {
+    streaming = true;
+  }
+
+  ArrayDeque<InFlightRequest> keyQueue() {
+    return keyQueue;
+  }
+
+  void setKeyQueue(ArrayDeque<InFlightRequest> queue) {
+    keyQueue = queue;
+  }
+
+  /** Until when an abandoned attempt may still be running. */
+  double settlesAtMillis() {
+    return settlesAt;
+  }
+
+  void setSettlesAtMillis(double atMillis) {
+    settlesAt = atMillis;
+  }
+
+  /** Until when it stays queued if no endpoint is found. */
+  double queuedUntilMillis() {
+    return queuedUntil;
+  }
+
+  void setQueuedUntilMillis(double untilMillis) {
+    queuedUntil = untilMillis;
+  }
+
+  /** Its expected work relative to the mean of its class; 1 if unknown. */
   double relativeCost() {
-    double mean = statistics.cost.value();
+    double mean = statistics.meanCostMillis();
     return request.costMillis() > 0 && mean > 0 ? request.costMillis() / mean : 1;
   }
 
-  boolean attempted(EndpointStatistics server) {
+  /** Its expected latency relative to the mean of its class. */
+  double latencyFactor() {
+    return 1 - COST_DEPENDENT_SHARE + COST_DEPENDENT_SHARE * relativeCost();
+  }
+
+  /** Its expected latency on an average endpoint. */
+  double expectedLatencyMillis() {
+    return statistics.latencyMillis() * latencyFactor();
+  }
+
+  boolean hasTried(EndpointStatistics endpoint) {
     for (Attempt attempt : attempts) {
-      if (attempt.endpoint == server) {
+      if (attempt.endpoint() == endpoint) {
         return true;
       }
     }
     return false;
   }
 
-  /**
-   * The earliest attempt that is out or was not proven never to have run; null if there is none.
-   */
-  Attempt firstMaybeRun() {
+  /** The earliest attempt that may have had an effect; null if there is none. */
+  Attempt firstAttemptThatMayHaveRun() {
     for (Attempt attempt : attempts) {
-      if (attempt.outcome == null || !attempt.outcome.neverRan()) {
+      if (attempt.mayHaveRun()) {
         return attempt;
       }
     }
--- /dev/null
+++ b/src/main/java/loadbalancer/policy/QueueingLimit.java
@@ -0,0 +1,39 @@
+package loadbalancer.policy;
+
+/**
+ * The queueing delay above which a request is not sent to an endpoint: otherwise, when endpoints
+ * leave, the rest would get all requests and work on responses that come too late.
+ *
+ * <p>Only in the tier that clients reach: further down, a rejection would waste the work already
+ * done above.
+ */
+final class QueueingLimit {
+
+  private static final int CLIENT_TIER = 0;
+
+  /** Share of its remaining time for a request of no value; the most valuable may use all. */
+  private static final double MIN_TIME_SHARE = 0.5;
+
+  private final int tier;
+  private final RequestClassStatistics[] classes;
+  private final RequestClassValue value;
+
+  QueueingLimit(int tier, RequestClassStatistics[] classes, RequestClassValue value) {
+    this.tier = tier;
+    this.classes = classes;
+    this.value = value;
+  }
+
+  double maxDelayMillis(InFlightRequest request, double now) {
+    if (tier > CLIENT_TIER) {
+      return Double.MAX_VALUE;
+    }
+    double highest = 0;
+    for (RequestClassStatistics type : classes) {
+      highest = Math.max(highest, value.valuePerWork(type));
+    }
+    double relativeValue = value.valuePerWork(request.statistics()) / highest;
+    return (MIN_TIME_SHARE + (1 - MIN_TIME_SHARE) * relativeValue)
+        * (request.usefulUntilMillis() - now);
+  }
+}
--- a/src/main/java/loadbalancer/policy/RequestClassStatistics.java
+++ b/src/main/java/loadbalancer/policy/RequestClassStatistics.java
@@ -1,67 +1,114 @@
 package loadbalancer.policy;
 
-import java.util.Objects;
 import loadbalancer.model.RequestClass;
 
-/** What was seen of a class of requests over all servers. */
+/** Evidence about a request class over all endpoints; no decisions. */
 final class RequestClassStatistics {
 
-  final int index;
-  final RequestClass type;
+  /** Gain of the averages over all endpoints. */
+  static final double FLEET_GAIN = 0.02;
+
+  /** Expected latency before any was seen, as a share of the latency objective. */
+  private static final double FIRST_LATENCY_OBJECTIVE_SHARE = 0.2;
+
+  private final int index;
+  private final RequestClass type;
+  private final ExponentialMovingAverage latency;
+  private final ExponentialMovingAverage cost = new ExponentialMovingAverage(0, FLEET_GAIN);
+  private final ExponentialMovingAverage clientRetryShare =
+      new ExponentialMovingAverage(0, FLEET_GAIN);
+  private PlacementGroup placementGroup;
+  private double trafficShare;
+  private double rejectedShare;
+  private double nextSelectionAt = Double.NEGATIVE_INFINITY;
+  private double slowRatio = HedgingPolicy.FIRST_SLOW_RATIO;
+
+  RequestClassStatistics(int index, RequestClass type) {
+    this.index = index;
+    this.type = type;
+    latency =
+        new ExponentialMovingAverage(
+            FIRST_LATENCY_OBJECTIVE_SHARE * type.latencyObjectiveMillis(), FLEET_GAIN);
+  }
 
-  /** Served latency in ms for a request of mean cost on a mean server. */
-  final ExponentialMovingAverage latency;
+  int index() {
+    return index;
+  }
 
-  /** Hinted cost. */
-  final ExponentialMovingAverage cost;
+  RequestClass type() {
+    return type;
+  }
 
-  /** Share of its requests that are marked as a client's retry. */
-  final ExponentialMovingAverage clientRetryShare;
+  /** The classes that may go to the same endpoints. */
+  PlacementGroup placementGroup() {
+    return placementGroup;
+  }
 
-  /** Its share of the requests that arrive. */
-  double share;
+  void setPlacementGroup(PlacementGroup group) {
+    placementGroup = group;
+  }
 
-  /** The part of them to refuse at once. */
-  double rejectedShare;
+  /** Served latency of a request of mean cost on an average endpoint. */
+  double latencyMillis() {
+    return latency.value();
+  }
 
-  /** The first class of the same placement: the two below are kept there for all of them. */
-  RequestClassStatistics leader;
+  void recordLatency(double millis) {
+    latency.add(millis);
+  }
 
-  /** Share of the work asked for that is refused at once, and when it was last moved. */
-  double overloadLevel;
+  /** Mean stated cost; 0 if none was stated. */
+  double meanCostMillis() {
+    return cost.value();
+  }
 
-  double overloadUpdatedAt;
+  /** Records the cost, if stated, and the retry mark of an arriving request. */
+  void recordArrival(double costMillis, boolean clientRetry) {
+    if (costMillis > 0) {
+      cost.add(costMillis);
+    }
+    clientRetryShare.add(clientRetry ? 1 : 0);
+  }
 
-  /**
-   * Share served of the calls that were sent while little was refused, and when one last told of
-   * it.
-   */
-  double servedWhileAdmitting = 1;
+  /** Share of its requests, 0 to 1, that clients have marked as retries. */
+  double clientRetryShare() {
+    return clientRetryShare.value();
+  }
 
-  double servedWhileAdmittingAt;
+  /** Its share of all arriving requests, 0 to 1. */
+  double trafficShare() {
+    return trafficShare;
+  }
 
-  /** When those of its requests that are held look for a server again. */
-  double nextSelectionAt = Double.NEGATIVE_INFINITY;
+  /** Moves the share for one arrival, of this class or of another. */
+  void updateTrafficShare(boolean ofThisClass) {
+    trafficShare += FLEET_GAIN * ((ofThisClass ? 1 : 0) - trafficShare);
+  }
 
-  /** How many times the expected latency only the slowest calls take. */
-  double slowRatio;
+  /** Share of its requests to reject on arrival, 0 to 1. */
+  double rejectedShare() {
+    return rejectedShare;
+  }
 
-  RequestClassStatistics(
-      int index, RequestClass type, double firstLatency, double firstRatio, double gain) {
-    this.index = index;
-    this.type = type;
-    latency = new ExponentialMovingAverage(firstLatency, gain);
-    cost = new ExponentialMovingAverage(0, gain);
-    clientRetryShare = new ExponentialMovingAverage(0, gain);
-    slowRatio = firstRatio;
+  void setRejectedShare(double share) {
+    rejectedShare = share;
+  }
+
+  /** When its queued requests next look for an endpoint. */
+  double nextSelectionAtMillis() {
+    return nextSelectionAt;
+  }
+
+  void setNextSelectionAtMillis(double atMillis) {
+    nextSelectionAt = atMillis;
   }
 
-  boolean sharesPlacement(RequestClassStatistics other) {
-    return Objects.equals(type.allowedZones(), other.type.allowedZones())
-        && Objects.equals(type.allowedMachineTypes(), other.type.allowedMachineTypes());
+  /** The multiple of the expected latency that only slow attempts exceed. */
+  double slowRatio() {
+    return slowRatio;
   }
 
-  boolean hasPlacement() {
-    return type.allowedZones() != null || type.allowedMachineTypes() != null;
+  void setSlowRatio(double ratio) {
+    slowRatio = ratio;
   }
 }
