--- a/src/main/java/loadbalancer/proxy/Main.java
+++ b/src/main/java/loadbalancer/proxy/Main.java
@@ -1,5 +1,7 @@
 package loadbalancer.proxy;
 
+import io.netty.util.internal.logging.InternalLoggerFactory;
+import io.netty.util.internal.logging.JdkLoggerFactory;
 import java.lang.reflect.Proxy;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
@@ -29,6 +31,8 @@
   }
 
   private static void serve() throws InterruptedException {
+    // Guards against a logging library on the class path that Netty would prefer to the JDK's.
+    InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     CompletableFuture<ProxyServer> started = new CompletableFuture<>();
     reloadAtHangup(started);
     try {
