--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -199,16 +199,16 @@
 
   private void reportLateness() {
     EventLoopMonitor.Report report = monitor.report();
-    if (report.max() > LATE_MS) {
+    if (report.maxMillis() > LATE_MS) {
       ProxyLogger.LOGGER.info(
           "the event loop was late: its "
               + report.iterations()
               + " iterations took up to "
-              + report.p50()
+              + report.p50Millis()
               + " ms in the median, "
-              + report.p99()
+              + report.p99Millis()
               + " ms in 99 of 100 and "
-              + report.max()
+              + report.maxMillis()
               + " ms at most");
     }
   }
--- a/src/main/java/loadbalancer/proxy/eventloop/Clock.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/Clock.java
@@ -1,23 +1,24 @@
 package loadbalancer.proxy.eventloop;
 
 /**
- * The time in ms since 1970, read off the monotonic clock. It is set by the system's clock once, at
- * the start, so that later corrections of that clock neither stretch a time-out nor let time run
- * backwards.
+ * Milliseconds since 1970 that never go back. The system clock is read once, when this is created;
+ * the monotonic clock counts from there, so that corrections of the system clock change no timeout.
+ * Safe for use on any thread.
  */
 public final class Clock {
 
-  private static final double NANOS_PER_MS = 1e6;
+  private static final double NANOS_PER_MILLI = 1e6;
 
-  private final long wallMillis = System.currentTimeMillis();
-  private final long nanos = System.nanoTime();
+  private final long startMillis = System.currentTimeMillis();
+  private final long startNanos = System.nanoTime();
 
+  /** The current time in milliseconds. */
   public double now() {
-    return wallMillis + (System.nanoTime() - nanos) / NANOS_PER_MS;
+    return startMillis + (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
   }
 
-  /** The delay from now, in ns, until a point in time; 0 if it has passed. */
-  public long nanosUntil(double at) {
-    return (long) Math.ceil(Math.max(0, at - now()) * NANOS_PER_MS);
+  /** The delay from now until the given time, in nanoseconds; 0 if that time has passed. */
+  public long nanosUntil(double atMillis) {
+    return (long) Math.ceil(Math.max(0, atMillis - now()) * NANOS_PER_MILLI);
   }
 }
--- a/src/main/java/loadbalancer/proxy/eventloop/DescriptorBudget.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/DescriptorBudget.java
@@ -6,97 +6,108 @@
 import java.util.function.DoublePredicate;
 
 /**
- * Counts the process's connections against the descriptors that it may hold. A caller that waits in
- * the backlog already counts as taken, so calls to upstreams leave room for callers, and an idle
- * connection gives way to whoever needs its descriptor.
+ * Divides the file descriptors that the process may hold between connections of clients and those
+ * to endpoints. A share is reserved for clients, as those in the accept backlog cannot be rejected,
+ * and idle connections are closed when another connection needs their descriptor. Used on the event
+ * loop thread only.
  */
 public final class DescriptorBudget {
 
-  /**
-   * Descriptors of the virtual machine, the listening socket and discovery, and callers let in at
-   * once.
-   */
-  private static final int OF_THE_PROCESS = 64;
+  /** For the virtual machine, the listening socket, discovery and one batch of new clients. */
+  private static final int RESERVED_DESCRIPTORS = 64;
 
-  /** The part of the rest that only callers may use. */
-  private static final int CALLERS_SHARE = 5;
+  /** One in this many connections is reserved for clients. */
+  private static final int CLIENT_SHARE_DIVISOR = 5;
 
-  /** A caller that has been idle for so long (ms) is hardly about to send. */
-  private static final double RESTING_MS = 300;
+  /** A client that has been idle for longer is unlikely to send a request soon. */
+  private static final double IDLE_CLIENT_MILLIS = 300;
 
-  /**
-   * Callers that are accepted at once at most, and the part of all connections kept free for them.
-   */
-  private static final int BATCH = 16;
+  /** The number of connections that Netty accepts at once at most. */
+  private static final int ACCEPT_BATCH = 16;
 
-  private static final int SPARE_SHARE = 10;
+  /** At most one in this many connections is kept free for a batch. */
+  private static final int SPARE_SHARE_DIVISOR = 10;
 
-  private final int limit;
-  private int open;
-  private DoublePredicate evictCaller = before -> false;
+  private final int maxConnections;
+  private int openConnections;
+  private DoublePredicate evictClient = idleSinceMillis -> false;
   private BooleanSupplier evictUpstream = () -> false;
 
-  public DescriptorBudget(int descriptors) {
-    limit = Math.max(CALLERS_SHARE, descriptors - OF_THE_PROCESS);
+  /**
+   * Creates the budget of a process.
+   *
+   * @param maxDescriptors how many descriptors the process may hold
+   */
+  public DescriptorBudget(int maxDescriptors) {
+    maxConnections = Math.max(CLIENT_SHARE_DIVISOR, maxDescriptors - RESERVED_DESCRIPTORS);
   }
 
-  /** Names what closes one idle upstream connection and tells whether there was one. */
+  /** Sets the action that closes one idle upstream connection and returns whether it did. */
   public void onEvictUpstream(BooleanSupplier evict) {
     evictUpstream = evict;
   }
 
-  /** Names what closes one caller's connection that was idle before a time; likewise. */
+  /**
+   * Sets the action that closes one client connection that has been idle since before the given
+   * time in milliseconds, and returns whether it did.
+   */
   public void onEvictClient(DoublePredicate evict) {
-    evictCaller = evict;
+    evictClient = evict;
   }
 
   /**
-   * Whether a connection to an upstream may be opened, after an idle one has gone for it if need
-   * be.
+   * Whether a connection to an endpoint may be opened; closes an idle connection for it if needed.
+   *
+   * @param now the time in milliseconds
    */
   public boolean tryReserveForUpstream(double now) {
-    return open < limit - limit / CALLERS_SHARE || evict(now);
+    return openConnections < maxConnections - maxConnections / CLIENT_SHARE_DIVISOR || evict(now);
   }
 
   /**
-   * Whether one more caller may be let in, after idle connections have gone for a batch of them:
-   * callers are accepted several at a time, and a crowd must not wait while others only rest here.
+   * Whether one more client may be accepted; closes idle connections as needed to keep a batch
+   * free, since clients are accepted several at a time.
+   *
+   * @param now the time in milliseconds
    */
   public boolean canAcceptClient(double now) {
-    int spare = Math.min(BATCH, limit / SPARE_SHARE);
-    boolean gone = true;
-    while (gone && open >= limit - spare) {
-      gone = evict(now);
+    int spare = Math.min(ACCEPT_BATCH, maxConnections / SPARE_SHARE_DIVISOR);
+    boolean evicted = true;
+    while (evicted && openConnections >= maxConnections - spare) {
+      evicted = evict(now);
     }
-    return open < limit;
+    return openConnections < maxConnections;
   }
 
-  /** Closes idle connections where the descriptors have run out, although room was kept. */
+  /**
+   * Closes up to a batch of idle connections after the descriptors have run out in spite of the
+   * budget.
+   *
+   * @param now the time in milliseconds
+   */
   public void evictIdleConnections(double now) {
-    boolean gone = true;
-    for (int i = 0; i < BATCH && gone; i++) {
-      gone = evict(now);
+    boolean evicted = true;
+    for (int i = 0; i < ACCEPT_BATCH && evicted; i++) {
+      evicted = evict(now);
     }
   }
 
-  /**
-   * Resting callers go first: to come back costs them less than a new connection costs an upstream.
-   */
+  /** Long idle clients go first: reconnecting costs them less than it costs an endpoint. */
   private boolean evict(double now) {
-    return evictCaller.test(now - RESTING_MS)
+    return evictClient.test(now - IDLE_CLIENT_MILLIS)
         || evictUpstream.getAsBoolean()
-        || evictCaller.test(now);
+        || evictClient.test(now);
   }
 
-  /** Counts a connection until it is closed. */
+  /** Counts an open connection until it is closed. */
   public void track(Channel channel) {
-    open++;
-    channel.closeFuture().addListener(closed -> open--);
+    openConnections++;
+    channel.closeFuture().addListener(closed -> openConnections--);
   }
 
   /**
-   * Handles at once what the kernel holds for a channel: bytes, the peer's end of the stream,
-   * callers in the backlog. What it says about a connection is then as fresh as can be.
+   * Reads at once what the kernel holds for a channel: bytes, the end of the stream, or connections
+   * in the accept backlog. The state of the channel is then as recent as it can be.
    */
   public static void readNow(Channel channel) {
     if (channel.isOpen()) {
--- a/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
@@ -9,160 +9,163 @@
 import java.util.function.LongSupplier;
 
 /**
- * Watches how late an event loop is. An event that becomes ready while the loop is busy waits,
- * unread, until the next call to the selector; this class bounds that wait and counts iterations by
- * their duration. So that it can, it also has a say in when the loop waits and for how long. It is
- * used on the thread of its event loop only.
+ * Measures how late an event loop is. An event that becomes ready while the loop is busy waits
+ * unread until the next call to the selector; this class gives a bound of that wait and
+ * countsByBits iterations by their duration. To know when the loop blocks, it also decides when the
+ * loop may block and for how long. Used on the thread of its event loop only.
  */
 public final class EventLoopMonitor {
 
-  private static final long NANOS_PER_MS = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
   private static final int PERCENT = 100;
 
   /**
-   * The longest iteration counts as recent for this long, and for as long again: on a processor
-   * that others use too, long ones come every few seconds. What a start makes long must not count
-   * for much longer.
+   * The length of a window of recent iterations. On a shared processor long iterations come every
+   * few seconds; those of the start must not count for much longer.
    */
-  private static final long RECENT_NANOS = 4_000 * NANOS_PER_MS;
+  private static final long WINDOW_NANOS = 4_000 * NANOS_PER_MILLI;
 
   /**
-   * Durations of iterations since the last report, in ms.
+   * Durations of iterations since the last report, in whole milliseconds.
    *
-   * @param p50 an upper bound of the median, one less than a power of two; likewise {@code p99}
-   * @param max the longest
+   * @param p50Millis an upper bound of the median: one less than a power of two
+   * @param p99Millis likewise of the 99th percentile
+   * @param maxMillis the longest duration, rounded down
    */
-  public record Report(long iterations, long p50, long p99, long max) {}
+  public record Report(long iterations, long p50Millis, long p99Millis, long maxMillis) {}
 
   private final LongSupplier nanoTime;
 
-  /** Iterations since the last report by the number of bits of their duration in ms. */
-  private final long[] counts = new long[Long.SIZE + 1];
+  /** Iterations since the last report by the number of bits of their duration in milliseconds. */
+  private final long[] countsByBits = new long[Long.SIZE + 1];
 
-  private long longestMillis;
+  /** The longest iteration since the last report. */
+  private long reportMaxMillis;
 
-  /** The longest iterations since the present window began, and in the one before, in ns. */
-  private long longestInWindow;
+  /** The longest iterations of the current and of the previous window. */
+  private long windowMaxNanos;
 
-  private long longestInWindowBefore;
-  private long windowBegan;
+  private long previousWindowMaxNanos;
+  private long windowStartNanos;
   private boolean started;
   private long iterationCount;
-  private long selectedAt;
 
-  /** When the selector returned before the present iteration. */
-  private long selectedBefore;
+  /** When the selector last returned, and when before the current iteration. */
+  private long selectedAtNanos;
 
-  /**
-   * Whether nothing was ready when the present iteration began, so that it waited for its events.
-   */
+  private long previousSelectedAtNanos;
+
+  /** Whether nothing was ready when the current iteration began, so that the selector blocked. */
   private boolean blocked;
 
-  /** {@code nanoTime} is a monotonic clock like {@link System#nanoTime()}. */
+  /**
+   * Creates the monitor of one event loop.
+   *
+   * @param nanoTime a monotonic clock like {@link System#nanoTime()}
+   */
   public EventLoopMonitor(LongSupplier nanoTime) {
     this.nanoTime = nanoTime;
-    selectedAt = nanoTime.getAsLong();
-    selectedBefore = selectedAt;
-    windowBegan = selectedAt;
+    selectedAtNanos = nanoTime.getAsLong();
+    previousSelectedAtNanos = selectedAtNanos;
+    windowStartNanos = selectedAtNanos;
   }
 
-  /** Makes handlers that work as those of {@code handlers} do and report to this monitor. */
+  /** Makes the handlers of a factory report to this monitor; they work as before otherwise. */
   public IoHandlerFactory wrap(IoHandlerFactory handlers) {
-    return executor -> new WatchedHandler(handlers.newHandler(executor));
+    return executor -> new MonitoredHandler(handlers.newHandler(executor));
   }
 
-  /** The number of the present iteration. */
+  /** The number of iterations begun so far. */
   public long iterationCount() {
     return iterationCount;
   }
 
   /**
-   * The longest time, in ms up to now, for which an event that is handled now may have been
-   * waiting. A selector that blocked returned as soon as anything was ready. Else an event that was
-   * ready when it returned before would have been handled then.
+   * The longest time in milliseconds for which an event that is being handled now may have waited.
+   * A selector that blocked returned with the first event; otherwise the event became ready after
+   * the selector had returned the time before.
    */
   public double longestWaitMillis() {
-    return millisSince(blocked ? selectedAt : selectedBefore);
+    return millisSince(blocked ? selectedAtNanos : previousSelectedAtNanos);
   }
 
-  private double millisSince(long nanos) {
-    return (double) (nanoTime.getAsLong() - nanos) / NANOS_PER_MS;
+  private double millisSince(long startNanos) {
+    return (double) (nanoTime.getAsLong() - startNanos) / NANOS_PER_MILLI;
   }
 
   /**
-   * The longest iteration of the last 4 s to 8 s, in ms: a timer that is set now may be so late.
+   * The longest iteration of the last 4 to 8 seconds, in milliseconds: a timer that is set now may
+   * be that late.
    */
   public double recentLatenessMillis() {
-    return (double) Math.max(longestInWindow, longestInWindowBefore) / NANOS_PER_MS;
+    return (double) Math.max(windowMaxNanos, previousWindowMaxNanos) / NANOS_PER_MILLI;
   }
 
-  /** The iterations since the last report; forgets them. */
+  /** Reports the iterations since the last report and resets the countsByBits. */
   public Report report() {
     long total = 0;
-    for (long count : counts) {
+    for (long count : countsByBits) {
       total += count;
     }
-    Report report = new Report(total, percentile(50, total), percentile(99, total), longestMillis);
-    Arrays.fill(counts, 0);
-    longestMillis = 0;
+    Report report =
+        new Report(total, percentile(50, total), percentile(99, total), reportMaxMillis);
+    Arrays.fill(countsByBits, 0);
+    reportMaxMillis = 0;
     return report;
   }
 
   private long percentile(int percent, long total) {
-    long below = 0;
-    for (int bits = 0; bits < counts.length; bits++) {
-      below += counts[bits];
-      if (below * PERCENT >= total * percent) {
+    long atMost = 0;
+    for (int bits = 0; bits < countsByBits.length; bits++) {
+      atMost += countsByBits[bits];
+      if (atMost * PERCENT >= total * percent) {
         return (1L << bits) - 1;
       }
     }
     return Long.MAX_VALUE;
   }
 
-  /** The loop is about to call the selector: the present iteration ends and the next one begins. */
+  /** Called before the selector: the current iteration ends and the next one begins. */
   private void beginIteration() {
     long now = nanoTime.getAsLong();
     if (started) {
-      count(now - selectedAt, now);
+      countIteration(now - selectedAtNanos, now);
     }
     started = true;
     iterationCount++;
-    selectedBefore = selectedAt;
+    previousSelectedAtNanos = selectedAtNanos;
   }
 
-  private void count(long nanos, long now) {
-    long millis = nanos / NANOS_PER_MS;
-    counts[Long.SIZE - Long.numberOfLeadingZeros(millis)]++;
-    longestMillis = Math.max(longestMillis, millis);
-    if (now - windowBegan >= RECENT_NANOS) {
-      longestInWindowBefore = now - windowBegan < 2 * RECENT_NANOS ? longestInWindow : 0;
-      longestInWindow = 0;
-      windowBegan = now;
+  private void countIteration(long nanos, long now) {
+    long millis = nanos / NANOS_PER_MILLI;
+    countsByBits[Long.SIZE - Long.numberOfLeadingZeros(millis)]++;
+    reportMaxMillis = Math.max(reportMaxMillis, millis);
+    if (now - windowStartNanos >= WINDOW_NANOS) {
+      previousWindowMaxNanos = now - windowStartNanos < 2 * WINDOW_NANOS ? windowMaxNanos : 0;
+      windowMaxNanos = 0;
+      windowStartNanos = now;
     }
-    longestInWindow = Math.max(longestInWindow, nanos);
+    windowMaxNanos = Math.max(windowMaxNanos, nanos);
   }
 
-  /** The selector has returned. */
+  /** Called when the selector has returned. */
   private void afterSelect() {
-    selectedAt = nanoTime.getAsLong();
+    selectedAtNanos = nanoTime.getAsLong();
   }
 
   private static long roundUpToMillis(long nanos) {
-    return nanos > Long.MAX_VALUE - NANOS_PER_MS
+    return nanos > Long.MAX_VALUE - NANOS_PER_MILLI
         ? nanos
-        : (nanos + NANOS_PER_MS - 1) / NANOS_PER_MS * NANOS_PER_MS;
+        : (nanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI * NANOS_PER_MILLI;
   }
 
-  /**
-   * Passes everything on, and tells the monitor when the loop calls the selector and when that
-   * returns.
-   */
-  private final class WatchedHandler implements IoHandler {
+  /** Delegates all calls, and notifies the monitor before and after each call to the selector. */
+  private final class MonitoredHandler implements IoHandler {
 
     private final IoHandler handler;
-    private final WatchedContext watched = new WatchedContext();
+    private final MonitoredContext monitoredContext = new MonitoredContext();
 
-    WatchedHandler(IoHandler handler) {
+    MonitoredHandler(IoHandler handler) {
       this.handler = handler;
     }
 
@@ -172,19 +175,18 @@
     }
 
     /**
-     * Handles what is ready, and waits only if nothing is. Whether a call to the selector had to
-     * wait does not show in how long it took: one that has something to return may be slow too, on
-     * a processor that others use.
+     * Handles what is ready, and blocks only if nothing is. The duration of a call to the selector
+     * does not show whether it blocked: on a shared processor any call may be slow.
      */
     @Override
     public int run(IoHandlerContext context) {
-      watched.context = context;
+      monitoredContext.context = context;
       beginIteration();
       blocked = false;
-      int handled = handler.run(watched);
+      int handled = handler.run(monitoredContext);
       if (handled == 0 && context.canBlock()) {
         blocked = true;
-        handled = handler.run(watched);
+        handled = handler.run(monitoredContext);
       }
       return handled;
     }
@@ -215,8 +217,8 @@
     }
   }
 
-  /** Netty asks whether to measure the time of handlers right after each return of the selector. */
-  private final class WatchedContext implements IoHandlerContext {
+  /** Netty calls {@link #shouldReportActiveIoTime} right after each return of the selector. */
+  private final class MonitoredContext implements IoHandlerContext {
 
     private IoHandlerContext context;
 
@@ -226,8 +228,8 @@
     }
 
     /**
-     * Netty waits for a timer in whole milliseconds, the nearest, and calls the selector over and
-     * over for the rest of the time. Rounded up, the wait ends when the timer is due.
+     * Rounded up to a millisecond, the unit in which Netty's selector waits. Netty rounds to the
+     * nearest one, and would spin on the selector until the timer is due.
      */
     @Override
     public long delayNanos(long now) {
--- a/src/main/java/loadbalancer/proxy/logging/LogRateLimiter.java
+++ b/src/main/java/loadbalancer/proxy/logging/LogRateLimiter.java
@@ -5,41 +5,45 @@
 import java.util.logging.LogRecord;
 
 /**
- * Lets a few lines through in a while: what peers do wrong must not fill the log, which is memory
- * here.
+ * Limits the rate of log lines, so that misbehaving peers cannot fill the log, which the platform
+ * keeps in memory. Calls on several threads at once may miscount, which does no harm.
  */
 public final class LogRateLimiter implements Filter {
 
-  private static final int LINES = 10;
-  private static final double WHILE_MS = 5_000;
+  private static final int MAX_LINES_PER_WINDOW = 10;
+  private static final double WINDOW_MILLIS = 5_000;
 
-  private final DoubleSupplier clock;
-  private double begun = Double.NEGATIVE_INFINITY;
-  private int lines;
-  private int dropped;
+  private final DoubleSupplier clockMillis;
+  private double windowStartMillis = Double.NEGATIVE_INFINITY;
+  private int linesInWindow;
+  private int droppedLines;
 
-  public LogRateLimiter(DoubleSupplier clock) {
-    this.clock = clock;
+  /**
+   * Creates a limiter.
+   *
+   * @param clockMillis the time in milliseconds; never goes back
+   */
+  public LogRateLimiter(DoubleSupplier clockMillis) {
+    this.clockMillis = clockMillis;
   }
 
-  /** Counts what is dropped and says so with the first line that is not. */
+  /** Returns whether a line is written; the first one after dropped lines gets their number. */
   @Override
   public boolean isLoggable(LogRecord line) {
-    double now = clock.getAsDouble();
-    if (now - begun >= WHILE_MS) {
-      if (dropped > 0) {
-        line.setMessage(
-            line.getMessage() + " (" + dropped + " lines before this one were dropped)");
+    double now = clockMillis.getAsDouble();
+    if (now - windowStartMillis >= WINDOW_MILLIS) {
+      if (droppedLines > 0) {
+        line.setMessage(line.getMessage() + " dropped_lines=" + droppedLines);
       }
-      begun = now;
-      lines = 0;
-      dropped = 0;
+      windowStartMillis = now;
+      linesInWindow = 0;
+      droppedLines = 0;
     }
-    if (lines >= LINES) {
-      dropped++;
+    if (linesInWindow >= MAX_LINES_PER_WINDOW) {
+      droppedLines++;
       return false;
     }
-    lines++;
+    linesInWindow++;
     return true;
   }
 }
--- a/src/main/java/loadbalancer/proxy/logging/ProxyLogger.java
+++ b/src/main/java/loadbalancer/proxy/logging/ProxyLogger.java
@@ -3,12 +3,12 @@
 import java.util.logging.Logger;
 
 /**
- * The logger of the whole process. All classes share it, since {@link LogRateLimiter} is a filter,
- * which loggers do not inherit.
+ * The logger that all classes of the process share: a filter such as {@link LogRateLimiter} applies
+ * to one logger only, and child loggers do not inherit it.
  */
 public final class ProxyLogger {
 
-  /** The one logger; may be used on any thread. */
+  /** Safe for use on any thread. */
   public static final Logger LOGGER = Logger.getLogger("loadbalancer");
 
   private ProxyLogger() {}
--- a/src/main/java/loadbalancer/proxy/protocol/ProtocolHeaders.java
+++ b/src/main/java/loadbalancer/proxy/protocol/ProtocolHeaders.java
@@ -26,10 +26,10 @@
   /** The expected work of the request in milliseconds of a standard core. */
   public static final String COST_ESTIMATE = "X-Estimate";
 
-  /** {@code 1} on a response that promises that the request had no effect. */
+  /** {@code 1} on a response to a rejected request: it had no effect and is safe to retry. */
   public static final String REJECTED = "X-Turned-Away";
 
-  /** The upstream's load report on a response. */
+  /** The endpoint's load report on a response. */
   public static final String LOAD_REPORT = "X-Pressure";
 
   /** Opaque labels that are forwarded as they are. */
