--- a/src/main/java/loadbalancer/benchmark/SimulatedBalancer.java
+++ b/src/main/java/loadbalancer/benchmark/SimulatedBalancer.java
@@ -5,7 +5,6 @@
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.model.Endpoint;
@@ -18,6 +17,7 @@
 import loadbalancer.proxy.discovery.DiscoveryClient;
 import loadbalancer.proxy.discovery.EndpointListUpdate;
 import loadbalancer.proxy.eventloop.Clock;
+import loadbalancer.proxy.eventloop.RunToCompletionQueue;
 import loadbalancer.proxy.json.JsonReader;
 import loadbalancer.proxy.logging.ProxyLogger;
 
@@ -99,8 +99,7 @@
   private final Clock clock = new Clock();
   private final LoadBalancingPolicy balancer = new LatencyWeightedPolicy(this);
   private final DiscoveryClient discovery;
-  private final ArrayDeque<Runnable> events = new ArrayDeque<>();
-  private boolean deciding;
+  private final RunToCompletionQueue<Runnable> events = new RunToCompletionQueue<>(Runnable::run);
   private boolean stopped;
 
   private SimulatedBalancer(
@@ -164,19 +163,9 @@
     listener.taken(this, change, roster == null ? -1 : roster.version());
   }
 
-  /** One event at a time: an action may cause the next before the module has returned. */
   private void event(Runnable event) {
-    events.add(event);
-    if (deciding || stopped) {
-      return;
-    }
-    deciding = true;
-    try {
-      for (Runnable next = events.poll(); next != null; next = events.poll()) {
-        next.run();
-      }
-    } finally {
-      deciding = false;
+    if (!stopped) {
+      events.add(event);
     }
   }
 
--- a/src/main/java/loadbalancer/proxy/InFlightExchange.java
+++ b/src/main/java/loadbalancer/proxy/InFlightExchange.java
@@ -11,38 +11,64 @@
 import loadbalancer.proxy.frontend.RequestDispatcher;
 import loadbalancer.proxy.upstream.UpstreamClient;
 
-/** A request from its arrival until it has its one answer and none of its attempts is out. */
+/**
+ * The state of one request, from its arrival until it has its final response and none of its
+ * attempts is running. Used on the event loop thread only.
+ */
 final class InFlightExchange implements RequestDispatcher.DispatchedRequest {
 
-  final long id;
-  final FullHttpRequest request;
-  final double deadline;
-  final List<UpstreamClient.Attempt> attempts = new ArrayList<>(2);
+  private final long id;
+  private final FullHttpRequest request;
+  private final double deadlineMillis;
+  private final Consumer<InFlightExchange> onClientDisconnected;
 
-  /**
-   * How many attempts were asked for, and how many of them are out; one not sent is null in the
-   * list.
-   */
-  int attemptCount;
+  /** The attempts by their number; null for one that was not sent. */
+  private final List<UpstreamClient.Attempt> attempts = new ArrayList<>(2);
 
-  int runningAttempts;
-  Future<?> overdueTimer;
-  private final Consumer<InFlightExchange> onClientDisconnected;
+  /** The number of attempts begun; ahead of the list while an attempt is being sent. */
+  private int attemptCount;
+
+  private int runningAttempts;
+  private Future<?> overdueTimer;
+
+  /** Null once the request has its final response or its client has disconnected. */
   private RequestDispatcher.Responder responder;
 
+  /**
+   * Takes over one reference to {@code request}.
+   *
+   * @param deadlineMillis on the time line of {@link loadbalancer.proxy.eventloop.Clock}
+   */
   InFlightExchange(
       long id,
       FullHttpRequest request,
-      double deadline,
-      RequestDispatcher.Responder caller,
+      double deadlineMillis,
+      RequestDispatcher.Responder responder,
       Consumer<InFlightExchange> onClientDisconnected) {
     this.id = id;
     this.request = request;
-    this.deadline = deadline;
-    this.responder = caller;
+    this.deadlineMillis = deadlineMillis;
+    this.responder = responder;
     this.onClientDisconnected = onClientDisconnected;
   }
 
+  long id() {
+    return id;
+  }
+
+  FullHttpRequest request() {
+    return request;
+  }
+
+  double deadlineMillis() {
+    return deadlineMillis;
+  }
+
+  /** Sets the timer that is cancelled when the exchange is closed. */
+  void setOverdueTimer(Future<?> timer) {
+    overdueTimer = timer;
+  }
+
   @Override
   public boolean isOpen() {
     return responder != null;
@@ -53,25 +79,66 @@
     onClientDisconnected.accept(this);
   }
 
-  /** Whether a client waits for an answer and has not left just now, which is yet to be told. */
+  /**
+   * Whether a client waits for a response and is still connected as far as the kernel knows, which
+   * the event loop may not have been notified of yet.
+   */
   boolean isClientConnected() {
     return responder != null && responder.isConnected();
   }
 
-  /** Answers unless that is done already or nobody waits any more; tells whether it did. */
-  boolean respond(HttpResponseStatus status, ByteBuf body, double retryAfter) {
+  /** Counts one more running attempt and returns its number. */
+  int beginAttempt() {
+    runningAttempts++;
+    return attemptCount++;
+  }
+
+  /** Keeps the attempt begun last; null if it was not sent. */
+  void addAttempt(UpstreamClient.Attempt attempt) {
+    attempts.add(attempt);
+  }
+
+  /** Counts one running attempt less. */
+  void endAttempt() {
+    runningAttempts--;
+  }
+
+  /** Cancels an attempt; does nothing if it is unknown or was not sent. */
+  void cancelAttempt(int number) {
+    if (number < attempts.size()) {
+      cancel(attempts.get(number));
+    }
+  }
+
+  /** Cancels all attempts, also those that have been written. */
+  void cancelAttempts() {
+    attempts.forEach(InFlightExchange::cancel);
+  }
+
+  private static void cancel(UpstreamClient.Attempt attempt) {
+    if (attempt != null) {
+      attempt.cancel();
+    }
+  }
+
+  /**
+   * Writes the final response unless the exchange is closed; returns whether it did.
+   *
+   * @param retryAfterMillis 0 for no advice
+   */
+  boolean respond(HttpResponseStatus status, ByteBuf body, double retryAfterMillis) {
     RequestDispatcher.Responder waiting = responder;
     if (waiting == null) {
       return false;
     }
     close();
-    waiting.respond(status, body, retryAfter);
+    waiting.respond(status, body, retryAfterMillis);
     return true;
   }
 
   /**
-   * Nobody waits for an answer any more. What waits for its connection goes no further, whether or
-   * not the module may call off what is out.
+   * Closes the exchange: no response is owed any more. Attempts that wait for a connection are
+   * abandoned, whether or not the policy may cancel those that have been written.
    */
   void close() {
     responder = null;
@@ -82,4 +149,9 @@
         .filter(Objects::nonNull)
         .forEach(UpstreamClient.Attempt::abandonUnlessWritten);
   }
+
+  /** Whether nothing more can happen to the exchange. */
+  boolean isSettled() {
+    return !isOpen() && runningAttempts == 0;
+  }
 }
--- a/src/test/java/loadbalancer/proxy/CrossZoneSpillTest.java
+++ b/src/test/java/loadbalancer/proxy/CrossZoneSpillTest.java
@@ -8,20 +8,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The module's weights over sockets: where calls go while a server lets them gather. */
+/** The weights of the policy over sockets: where requests go while an endpoint queues them. */
 @Timeout(120)
 class CrossZoneSpillTest {
 
-  private static final int CALLS = 100;
+  private static final int REQUESTS = 100;
 
-  /**
-   * An aim so long that nothing is late or overdue while a test runs, on however slow a machine.
-   */
-  private static final String LONG_AIM = "\"aim\":60000.0";
+  /** A latency objective so long that no request is late on a slow machine. */
+  private static final String LONG_OBJECTIVE = "\"aim\":60000.0";
 
-  /** Takes whatever comes to an upstream, says so and keeps it. */
-  private static void hold(
-      ScriptedListener upstream, int number, LinkedBlockingQueue<Integer> taken) {
+  /** Reports each request that an upstream receives and never responds. */
+  private static void receiveWithoutResponse(
+      ScriptedListener upstream, int number, LinkedBlockingQueue<Integer> receivedBy) {
     daemon(
         () -> {
           while (true) {
@@ -29,23 +27,23 @@
             daemon(
                 () -> {
                   while (peer.read() != null) {
-                    taken.add(number);
+                    receivedBy.add(number);
                   }
                 });
           }
         });
   }
 
-  private interface Job {
+  private interface Task {
     void run() throws IOException, InterruptedException;
   }
 
-  private static void daemon(Job job) {
+  private static void daemon(Task task) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                job.run();
+                task.run();
               } catch (IOException | InterruptedException e) {
                 // The test is over.
               }
@@ -55,40 +53,41 @@
   }
 
   @Test
-  void aCrowdAtHomeSendsCallsToAnotherZoneBeforeTheyAreLate() throws Exception {
-    LinkedBlockingQueue<Integer> taken = new LinkedBlockingQueue<>();
+  void queueInTheOwnZoneSendsRequestsToAnotherZoneBeforeTheyAreLate() throws Exception {
+    LinkedBlockingQueue<Integer> receivedBy = new LinkedBlockingQueue<>();
     try (ProxyFixture stage = new ProxyFixture(4)) {
       stage.endpointsInOwnZone = 1;
-      stage.aim = LONG_AIM;
-      // Where clients arrive, a crowd that must be late is refused and not sent.
+      stage.aim = LONG_OBJECTIVE;
+      // The first tier would reject requests that are expected to be late.
       stage.tier = 1;
       stage.start(LatencyWeightedPolicy::new);
       for (int i = 0; i < stage.upstreams.size(); i++) {
-        hold(stage.upstreams.get(i), i, taken);
+        receiveWithoutResponse(stage.upstreams.get(i), i, receivedBy);
       }
-      int[] held = new int[stage.upstreams.size()];
-      for (int i = 0; i < CALLS; i++) {
+      int[] received = new int[stage.upstreams.size()];
+      for (int i = 0; i < REQUESTS; i++) {
         stage.connectClient().write(ProxyFixture.atMostOnceRequest("c" + i, "x"));
-        held[ScriptedPolicy.takeNext(taken)]++;
+        received[ScriptedPolicy.takeNext(receivedBy)]++;
       }
-      // A fifth of the aim is expected at first, and five calls are no crowd: 25 would fill the
-      // aim.
-      assertTrue(held[0] <= 55, held[0] + " calls gather at home");
-      assertTrue(held[0] >= CALLS / 4, held[0] + " calls stay at home, where crossing costs");
+      // The expected latency starts at a fifth of the objective, so 25 queued requests fill it.
+      assertTrue(received[0] <= 55, received[0] + " requests queue in the own zone");
+      assertTrue(
+          received[0] >= REQUESTS / 4,
+          received[0] + " requests in spite of the cross-zone penalty");
     }
   }
 
   @Test
-  void aServerAtHomeThatFailsAtOnceIsNotTakenForAFreeOne() throws Exception {
-    LinkedBlockingQueue<Integer> taken = new LinkedBlockingQueue<>();
+  void endpointThatFailsFastIsNotPreferredAsIdle() throws Exception {
+    LinkedBlockingQueue<Integer> receivedBy = new LinkedBlockingQueue<>();
     try (ProxyFixture stage = new ProxyFixture(6)) {
       stage.endpointsInOwnZone = 1;
-      stage.aim = LONG_AIM;
-      // Where clients arrive, a crowd that must be late is refused and not sent.
+      stage.aim = LONG_OBJECTIVE;
+      // The first tier would reject requests that are expected to be late.
       stage.tier = 1;
       stage.start(LatencyWeightedPolicy::new);
       for (int i = 1; i < stage.upstreams.size(); i++) {
-        hold(stage.upstreams.get(i), i, taken);
+        receiveWithoutResponse(stage.upstreams.get(i), i, receivedBy);
       }
       daemon(
           () -> {
@@ -98,22 +97,22 @@
                   () -> {
                     while (peer.read() != null) {
                       peer.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-                      taken.add(0);
+                      receivedBy.add(0);
                     }
                   });
             }
           });
-      int lost = 0;
-      for (int i = 0; i < CALLS; i++) {
-        HttpPeer caller = stage.connectClient();
-        caller.write(ProxyFixture.atMostOnceRequest("f" + i, "x"));
-        if (ScriptedPolicy.takeNext(taken) == 0) {
-          lost++;
-          // Told to the module by now, as the caller has its answer.
-          caller.read();
+      int failed = 0;
+      for (int i = 0; i < REQUESTS; i++) {
+        HttpPeer client = stage.connectClient();
+        client.write(ProxyFixture.atMostOnceRequest("f" + i, "x"));
+        if (ScriptedPolicy.takeNext(receivedBy) == 0) {
+          failed++;
+          // The policy has been notified once the client has its response.
+          client.read();
         }
       }
-      assertTrue(lost <= CALLS / 10, lost + " calls were lost at the sick server");
+      assertTrue(failed <= REQUESTS / 10, failed + " requests failed at the faulty endpoint");
     }
   }
 }
--- a/src/test/java/loadbalancer/proxy/DescriptorLimitTest.java
+++ b/src/test/java/loadbalancer/proxy/DescriptorLimitTest.java
@@ -10,53 +10,54 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The program under a real limit on descriptors. */
+/** The process under a limit of the operating system on its descriptors. */
 @Timeout(120)
 class DescriptorLimitTest {
 
   private static final int LIMIT = 128;
-  private static final int CROWD = 2 * LIMIT;
+  private static final int IDLE_CLIENTS = 2 * LIMIT;
 
-  /** As many as the program's descriptors, and more that wait for one; none of them ever sends. */
-  private static List<HttpPeer> crowd(InetSocketAddress node) throws IOException {
+  /** Connects more clients than there are descriptors; none of them sends a request. */
+  private static List<HttpPeer> connectIdleClients(InetSocketAddress node) throws IOException {
     List<HttpPeer> idle = new ArrayList<>();
-    for (int i = 0; i < CROWD; i++) {
+    for (int i = 0; i < IDLE_CLIENTS; i++) {
       idle.add(HttpPeer.connect(node));
     }
     return idle;
   }
 
-  /** Has discovery tell a list, whatever calls it has left without an answer so far. */
-  private static HttpPeer tell(ScriptedListener discovery, String roster) throws Exception {
+  /** Responds to discovery calls until the endpoint list has been handled. */
+  private static HttpPeer sendEndpointList(ScriptedListener discovery, String list)
+      throws Exception {
     while (true) {
       HttpPeer call = discovery.accept();
       try {
         if (call.read() != null) {
-          call.write(ProxyFixture.okResponse(roster));
-          // It has been taken in once the next call is out.
+          call.write(ProxyFixture.okResponse(list));
+          // The list has been handled once the next call arrives.
           if (call.read() != null) {
             return call;
           }
         }
       } catch (IOException e) {
-        // Given up meanwhile; there is a later one.
+        // This call was closed meanwhile; a later one follows.
       }
     }
   }
 
-  private static void assertGoesTo(ScriptedListener upstream, String id, InetSocketAddress node)
-      throws Exception {
-    try (HttpPeer caller = HttpPeer.connect(node)) {
-      caller.write(ProxyFixture.idempotentRequest(id, "15"));
-      HttpPeer taker = upstream.accept();
-      assertEquals(id, taker.read().header("X-Txn"));
-      taker.write(ProxyFixture.okResponse(id));
-      assertEquals(id, caller.read().body());
+  private static void assertForwardedTo(
+      ScriptedListener upstream, String id, InetSocketAddress node) throws Exception {
+    try (HttpPeer client = HttpPeer.connect(node)) {
+      client.write(ProxyFixture.idempotentRequest(id, "15"));
+      HttpPeer attempt = upstream.accept();
+      assertEquals(id, attempt.read().header("X-Txn"));
+      attempt.write(ProxyFixture.okResponse(id));
+      assertEquals(id, client.read().body());
     }
   }
 
   @Test
-  void idleClientsThatFillTheDescriptorsKeepOutNeitherNewsNorAttempts() throws Exception {
+  void idleClientsThatUseAllDescriptorsBlockNeitherDiscoveryNorAttempts() throws Exception {
     List<HttpPeer> idle = new ArrayList<>();
     try (ProxyFixture stage = new ProxyFixture(2);
         ScriptedListener second = new ScriptedListener()) {
@@ -70,21 +71,22 @@
       }
       try (ProxyProcess node = ProxyProcess.startInShell(stage, "ulimit -n " + LIMIT + "; exec")) {
         node.connect().close();
-        // While discovery is silent they come, and wait for each other to go.
-        idle.addAll(crowd(node.address));
+        // Idle clients arrive before discovery has responded.
+        idle.addAll(connectIdleClients(node.address));
         assertTrue(idle.get(0).isClosedByPeer());
-        idle.addAll(crowd(node.address));
-        HttpPeer watch = tell(stage.discovery, ProxyFixture.endpointList(42, false, draining[0]));
-        assertGoesTo(stage.upstreams.get(1), "first", node.address);
-        // A new watch while the old one is still open on the other side.
+        idle.addAll(connectIdleClients(node.address));
+        HttpPeer watch =
+            sendEndpointList(stage.discovery, ProxyFixture.endpointList(42, false, draining[0]));
+        assertForwardedTo(stage.upstreams.get(1), "first", node.address);
+        // A new watch while the old connection is still open at discovery.
         watch.reset();
-        idle.addAll(crowd(node.address));
-        tell(stage.discovery, ProxyFixture.endpointList(43, false, up[0], draining[1]));
-        assertGoesTo(stage.upstreams.get(0), "second", node.address);
+        idle.addAll(connectIdleClients(node.address));
+        sendEndpointList(stage.discovery, ProxyFixture.endpointList(43, false, up[0], draining[1]));
+        assertForwardedTo(stage.upstreams.get(0), "second", node.address);
         node.reload(node.config.replace(stage.discovery.address(), second.address()));
-        idle.addAll(crowd(node.address));
-        tell(second, ProxyFixture.endpointList(7, true, draining[0], up[1]));
-        assertGoesTo(stage.upstreams.get(1), "third", node.address);
+        idle.addAll(connectIdleClients(node.address));
+        sendEndpointList(second, ProxyFixture.endpointList(7, true, draining[0], up[1]));
+        assertForwardedTo(stage.upstreams.get(1), "third", node.address);
       }
     } finally {
       for (HttpPeer one : idle) {
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The program as a process: its command line, and how it ends. */
+/** The command line, reload and graceful shutdown. */
 @Timeout(120)
 class GracefulShutdownTest {
 
   private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n";
 
-  private static void endsWithOneLine(int status, Path config, String... arguments)
+  private static void assertExitsWithOneLine(int status, Path config, String... arguments)
       throws Exception {
     Process process = ProxyProcess.startWith(config, arguments);
     try (BufferedReader error = process.errorReader()) {
@@ -30,11 +30,11 @@
   }
 
   @Test
-  void aBadCommandLineOrConfigurationIsToldInOneLine() throws Exception {
-    endsWithOneLine(2, null);
-    endsWithOneLine(2, null, "server");
-    endsWithOneLine(1, null, "serve");
-    endsWithOneLine(1, Path.of("no-such-file"), "serve");
+  void invalidCommandLineOrConfigurationIsReportedInOneLine() throws Exception {
+    assertExitsWithOneLine(2, null);
+    assertExitsWithOneLine(2, null, "server");
+    assertExitsWithOneLine(1, null, "serve");
+    assertExitsWithOneLine(1, Path.of("no-such-file"), "serve");
     Path file = Files.createTempFile("node", ".json");
     try (ProxyFixture stage = new ProxyFixture()) {
       for (String bad :
@@ -50,7 +50,7 @@
             stage.config().replace("127.0.0.1:0", stage.discovery.address())
           }) {
         Files.writeString(file, bad);
-        endsWithOneLine(1, file, "serve");
+        assertExitsWithOneLine(1, file, "serve");
       }
     } finally {
       Files.delete(file);
@@ -58,30 +58,30 @@
   }
 
   @Test
-  void sigtermLetsAllThatIsTakenBeAnswered() throws Exception {
+  void sigtermCompletesAcceptedRequests() throws Exception {
     try (ProxyFixture stage = new ProxyFixture();
-        ProxyProcess node = ProxyProcess.start(stage)) {
-      HttpPeer taken = node.connect();
-      HttpPeer idle = HttpPeer.connect(node.address);
+        ProxyProcess proxy = ProxyProcess.start(stage)) {
+      HttpPeer accepted = proxy.connect();
+      HttpPeer idle = HttpPeer.connect(proxy.address);
       idle.write(HEALTH);
       assertEquals("keep-alive", idle.read().headers().getOrDefault("connection", "keep-alive"));
-      taken.write(ProxyFixture.idempotentRequest("taken", "10"));
+      accepted.write(ProxyFixture.idempotentRequest("taken", "10"));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
-      node.process.destroy();
-      // A second one, and a new configuration just then, change nothing.
-      node.process.destroy();
-      node.hangUp();
+      proxy.process.destroy();
+      // A second SIGTERM, and a reload during the shutdown, change nothing.
+      proxy.process.destroy();
+      proxy.hangUp();
       idle.write(ProxyFixture.idempotentRequest("reused", "10"));
       HttpPeer second = stage.upstreams.get(0).accept();
       second.read();
-      // A late caller, one on a connection that it had, and the one that was taken before.
+      // A new client, a request on an existing connection, and one accepted before the signal.
       HttpPeer.Message late = null;
       while (late == null || late.header("Connection") == null) {
-        // Callers are asked to leave only when the time for the last answers begins.
-        HttpPeer caller = HttpPeer.connect(node.address);
-        caller.write(HEALTH);
-        late = caller.read();
+        // Responses carry "Connection: close" only in the closing phase.
+        HttpPeer client = HttpPeer.connect(proxy.address);
+        client.write(HEALTH);
+        late = client.read();
         assertEquals(200, late.status());
       }
       second.write(ProxyFixture.okResponse("reused"));
@@ -90,93 +90,99 @@
       assertEquals("close", reused.header("Connection"));
       assertTrue(idle.isClosedByPeer());
       upstream.write(ProxyFixture.okResponse("taken"));
-      assertEquals("taken", taken.read().body());
-      assertTrue(node.process.waitFor(HttpPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+      assertEquals("taken", accepted.read().body());
+      assertTrue(proxy.process.waitFor(HttpPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     }
   }
 
   @Test
-  void sighupReadsTheFileAgainAndABadOneChangesNothing() throws Exception {
+  void sighupReloadsTheConfigurationAndAnInvalidOneChangesNothing() throws Exception {
     try (ProxyFixture stage = new ProxyFixture();
         ScriptedListener second = new ScriptedListener();
-        ProxyProcess node = ProxyProcess.start(stage)) {
-      HttpPeer caller = node.connect();
+        ProxyProcess proxy = ProxyProcess.start(stage)) {
+      HttpPeer client = proxy.connect();
       stage.discovery.accept().read();
-      node.reload("{");
-      // Its complaint tells that it has been read.
+      proxy.reload("{");
+      // The warning shows that the file has been read.
       assertTrue(
-          node.process.errorReader().lines().anyMatch(line -> line.contains("stays as it was")));
-      node.reload(node.config.replace(stage.discovery.address(), second.address()));
+          proxy
+              .process
+              .errorReader()
+              .lines()
+              .anyMatch(
+                  line ->
+                      line.contains(
+                          "configuration reload failed, keeping the current one: error=")));
+      proxy.reload(proxy.config.replace(stage.discovery.address(), second.address()));
       assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().startLine());
-      caller.write(HEALTH);
-      assertEquals(200, caller.read().status());
+      client.write(HEALTH);
+      assertEquals(200, client.read().status());
     }
   }
 
   @Test
-  void sighupIsHeardAlsoWhereWhoeverStartsTheProgramIgnoresIt() throws Exception {
+  void sighupIsHandledAlsoIfTheParentProcessIgnoresIt() throws Exception {
     String run =
         Files.readAllLines(Path.of("deploy", "balancer.toml")).stream()
             .filter(line -> line.startsWith("run = \""))
             .findFirst()
             .orElseThrow();
-    // What comes ahead of the virtual machine, which leaves a signal ignored that was so at its
-    // start.
-    String ahead = run.substring(run.indexOf('"') + 1, run.indexOf("java "));
+    // Guards against a JVM that inherits an ignored SIGHUP: it would not install its handler.
+    String commandPrefix = run.substring(run.indexOf('"') + 1, run.indexOf("java "));
     try (ProxyFixture stage = new ProxyFixture();
         ScriptedListener second = new ScriptedListener();
-        ProxyProcess node = ProxyProcess.startInShell(stage, "trap '' HUP; " + ahead)) {
-      node.connect();
-      node.reload(node.config.replace(stage.discovery.address(), second.address()));
+        ProxyProcess proxy = ProxyProcess.startInShell(stage, "trap '' HUP; " + commandPrefix)) {
+      proxy.connect();
+      proxy.reload(proxy.config.replace(stage.discovery.address(), second.address()));
       assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().startLine());
     }
   }
 
   @Test
-  void aDrainServesCallersAsBeforeWhileThereIsTime() throws Exception {
+  void gracefulShutdownServesClientsUntilItsClosingPhase() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      Thread drain =
+      Thread shutdown =
           new Thread(
               () -> {
                 try {
-                  stage.server.drain();
+                  stage.server.shutDownGracefully();
                 } catch (InterruptedException e) {
                   Thread.currentThread().interrupt();
                 }
               });
-      HttpPeer caller = stage.connectClient();
-      caller.write(HEALTH);
-      caller.read();
-      drain.start();
-      // It has begun once the thread sleeps; so far callers are not asked to leave.
-      while (drain.getState() != Thread.State.TIMED_WAITING) {
+      HttpPeer client = stage.connectClient();
+      client.write(HEALTH);
+      client.read();
+      shutdown.start();
+      // The shutdown has begun once its thread sleeps; responses still keep connections open.
+      while (shutdown.getState() != Thread.State.TIMED_WAITING) {
         Thread.onSpinWait();
       }
-      caller.write(HEALTH);
-      assertEquals("keep-alive", caller.read().headers().getOrDefault("connection", "keep-alive"));
-      drain.join();
-      assertTrue(caller.isClosedByPeer());
+      client.write(HEALTH);
+      assertEquals("keep-alive", client.read().headers().getOrDefault("connection", "keep-alive"));
+      shutdown.join();
+      assertTrue(client.isClosedByPeer());
     }
   }
 
   @Test
-  void whatADrainCannotFinishFailsBeforeItIsKilled() throws Exception {
+  void requestsUnfinishedAtTheEndOfAShutdownFail() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.connectClient();
-      caller.write(ProxyFixture.atMostOnceRequest("1", "x"));
+      HttpPeer client = stage.connectClient();
+      client.write(ProxyFixture.atMostOnceRequest("1", "x"));
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
-      stage.server.drain();
-      assertEquals(504, caller.read().status());
+      stage.server.shutDownGracefully();
+      assertEquals(504, client.read().status());
       assertTrue(upstream.isClosedByPeer());
     }
   }
 
   @Test
-  void allThatHasComeByTheEndOfADrainIsAnswered() throws Exception {
+  void everyRequestReceivedByTheEndOfAShutdownGetsAResponse() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.connectClient();
-      caller.write(
+      HttpPeer client = stage.connectClient();
+      client.write(
           ProxyFixture.atMostOnceRequest("1", "x")
               + ProxyFixture.idempotentRequest("2", "10")
               + ProxyFixture.idempotentRequest("3", "10"));
@@ -186,20 +192,19 @@
       half.write("GET /look-up/7");
       stage.server.onLoop(
           (frontend, upstreams) -> {
-            // Nobody could come to an end otherwise while the test puts the end here.
-            stage.server.end();
+            stage.server.forceShutdown();
             return null;
           });
-      assertEquals(504, caller.read().status());
-      // They never ran, and may be sent again.
-      assertEquals(503, caller.read().status());
-      HttpPeer.Message last = caller.read();
+      assertEquals(504, client.read().status());
+      // Pipelined requests were never sent, so they are rejected as safe to retry.
+      assertEquals(503, client.read().status());
+      HttpPeer.Message last = client.read();
       assertEquals(503, last.status());
       assertEquals("close", last.header("Connection"));
-      assertTrue(caller.isClosedByPeer());
+      assertTrue(client.isClosedByPeer());
       assertEquals(408, half.read().status());
       assertTrue(half.isClosedByPeer());
-      // A connection that crosses the end is told so too.
+      // A connection opened after the end of the shutdown.
       HttpPeer late = stage.connectClient();
       late.write(ProxyFixture.idempotentRequest("4", "10"));
       assertEquals(503, late.read().status());
@@ -208,7 +213,7 @@
   }
 
   @Test
-  void aRequestThatLiesUnreadInTheKernelAtTheEndOfADrainIsAnswered() throws Exception {
+  void requestsUnreadInTheKernelAtTheEndOfAShutdownGetAResponse() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
       HttpPeer kept = stage.connectClient();
       kept.write(HEALTH);
@@ -217,51 +222,51 @@
       stage.server.onLoop(
           (frontend, upstreams) -> {
             try {
-              // The node reads neither before its end begins.
+              // The event loop reads neither before the end of the shutdown begins.
               kept.write(ProxyFixture.idempotentRequest("1", "10"));
               unread[1] = stage.connectClient();
               unread[1].write(ProxyFixture.idempotentRequest("2", "10"));
             } catch (IOException e) {
               throw new java.io.UncheckedIOException(e);
             }
-            stage.server.end();
+            stage.server.forceShutdown();
             return null;
           });
-      for (HttpPeer caller : unread) {
-        HttpPeer.Message answer = caller.read();
-        assertEquals(503, answer.status());
-        assertEquals("close", answer.header("Connection"));
-        assertTrue(caller.isClosedByPeer());
+      for (HttpPeer client : unread) {
+        HttpPeer.Message response = client.read();
+        assertEquals(503, response.status());
+        assertEquals("close", response.header("Connection"));
+        assertTrue(client.isClosedByPeer());
       }
     }
   }
 
   @Test
-  void aNodeThatLetNobodyInYetCanBeDrained() throws Exception {
+  void serverThatAcceptsNoClientsYetCanShutDown() throws Exception {
     Path file = Files.createTempFile("node", ".json");
     try (ProxyFixture stage = new ProxyFixture()) {
       Files.writeString(file, stage.config());
-      ProxyServer node = ProxyServer.prepare(ProxyConfig.read(file.toString()));
-      node.drain();
-      node.kill();
+      ProxyServer server = ProxyServer.prepare(ProxyConfig.read(file.toString()));
+      server.shutDownGracefully();
+      server.kill();
     } finally {
       Files.delete(file);
     }
   }
 
   @Test
-  void aDrainDoesNotCloseAConnectionWithARequestInIt() throws Exception {
+  void connectionWithARequestInFlightIsNotClosed() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = stage.connectClient();
-      caller.write(HEALTH);
-      caller.read();
-      caller.write(ProxyFixture.idempotentRequest("1", "10"));
-      // The request lies in the kernel or is at work; either way it must not be lost.
-      assertFalse(stage.server.endDrain());
+      HttpPeer client = stage.connectClient();
+      client.write(HEALTH);
+      client.read();
+      client.write(ProxyFixture.idempotentRequest("1", "10"));
+      // The request is unread in the kernel or in flight.
+      assertFalse(stage.server.closeIdleClientConnections());
       HttpPeer upstream = stage.upstreams.get(0).accept();
       upstream.read();
       upstream.write(ProxyFixture.okResponse("kept"));
-      assertEquals("kept", caller.read().body());
+      assertEquals("kept", client.read().body());
     }
   }
 }
--- a/src/test/java/loadbalancer/proxy/LateEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/LateEventLoopTest.java
@@ -28,28 +28,25 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * A balancer whose loop is busy while events gather in the kernel. The test keeps the loop busy
- * itself, and what comes first meanwhile is handled first.
- */
+/** An event loop that is busy while events become ready in the kernel, in the order of arrival. */
 @Timeout(60)
 class LateEventLoopTest {
 
-  private static final int LATE_MS = 300;
+  private static final int BLOCKED_MILLIS = 300;
 
-  /** The node's clock and the system's start within a millisecond of each other. */
-  private static final double CLOCKS_MS = 2;
+  /** The clocks of the server and of the system differ by a millisecond at most. */
+  private static final double CLOCK_TOLERANCE_MILLIS = 2;
 
-  private interface Job {
+  private interface Action {
     void run() throws Exception;
   }
 
-  /** Does something while the loop can do nothing else. */
-  private static void keepBusy(ProxyFixture stage, Job job) throws Exception {
+  /** Runs an action on the event loop, which handles no event meanwhile. */
+  private static void blockEventLoop(ProxyFixture stage, Action action) throws Exception {
     stage.server.onLoop(
         (frontend, upstreams) -> {
           try {
-            job.run();
+            action.run();
             return null;
           } catch (Exception e) {
             throw new IllegalStateException(e);
@@ -57,7 +54,7 @@
         });
   }
 
-  /** Starts a node with a watch that its discovery has yet to answer. */
+  /** Starts a server whose discovery watch has no response yet. */
   private static HttpPeer startWatching(ProxyFixture stage) throws Exception {
     stage.policy.onStart = () -> stage.policy.actions.watchEndpoints(true);
     stage.start();
@@ -67,28 +64,28 @@
     return watch;
   }
 
-  private static HttpPeer healthyCaller(ProxyFixture stage) throws Exception {
-    HttpPeer caller = stage.connectClient();
-    caller.write("GET /_health HTTP/1.1\r\n\r\n");
-    caller.read();
-    return caller;
+  private static HttpPeer connectAndCheckHealth(ProxyFixture stage) throws Exception {
+    HttpPeer client = stage.connectClient();
+    client.write("GET /_health HTTP/1.1\r\n\r\n");
+    client.read();
+    return client;
   }
 
   @Test
-  void newsOfDiscoveryIsTakenInAheadOfRequestsThatCameBeforeIt() throws Exception {
+  void endpointUpdateIsHandledAheadOfRequestsThatArrivedBeforeIt() throws Exception {
     try (ProxyFixture stage = new ProxyFixture(2)) {
       HttpPeer watch = startWatching(stage);
-      HttpPeer caller = healthyCaller(stage);
-      LinkedBlockingQueue<Integer> newsAtRequest = new LinkedBlockingQueue<>();
+      HttpPeer client = connectAndCheckHealth(stage);
+      LinkedBlockingQueue<Integer> updatesAtRequest = new LinkedBlockingQueue<>();
       stage.policy.onRequest =
           request -> {
-            newsAtRequest.add(stage.policy.updates.size());
+            updatesAtRequest.add(stage.policy.updates.size());
             stage.policy.sendTo(1, request, 0);
           };
-      keepBusy(
+      blockEventLoop(
           stage,
           () -> {
-            caller.write(ProxyFixture.idempotentRequest("1", "10"));
+            client.write(ProxyFixture.idempotentRequest("1", "10"));
             watch.write(
                 ProxyFixture.okResponse(
                     ProxyFixture.endpointList(
@@ -96,48 +93,51 @@
                         false,
                         ProxyFixture.endpointEntry(
                             0, stage.upstreams.get(0).address(), "draining"))));
-            // Longer than the node lets pass between two looks at discovery.
-            TimeUnit.MILLISECONDS.sleep(LATE_MS);
+            // Longer than a discovery response may stay unread.
+            TimeUnit.MILLISECONDS.sleep(BLOCKED_MILLIS);
           });
       assertEquals(
-          1, ScriptedPolicy.takeNext(newsAtRequest), "the request was decided on by the old list");
+          1,
+          ScriptedPolicy.takeNext(updatesAtRequest),
+          "the request was balanced over the outdated list");
     }
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aRequestsTimeRunsWhileItOrItsConnectionWaits(boolean kept) throws Exception {
+  void deadlineCountsTheTimeThatARequestOrItsConnectionWaitedUnread(boolean keepAlive)
+      throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer known = healthyCaller(stage);
+      HttpPeer known = connectAndCheckHealth(stage);
       LinkedBlockingQueue<ClientRequest> requests = new LinkedBlockingQueue<>();
       stage.policy.onRequest = requests::add;
       double[] writtenAt = new double[1];
-      keepBusy(
+      blockEventLoop(
           stage,
           () -> {
-            HttpPeer caller = kept ? known : stage.connectClient();
-            caller.write(ProxyFixture.idempotentRequest("1", "10"));
+            HttpPeer client = keepAlive ? known : stage.connectClient();
+            client.write(ProxyFixture.idempotentRequest("1", "10"));
             writtenAt[0] = stage.server.now();
-            TimeUnit.MILLISECONDS.sleep(LATE_MS);
+            TimeUnit.MILLISECONDS.sleep(BLOCKED_MILLIS);
           });
       double deadline = ScriptedPolicy.takeNext(requests).deadlineMillis();
       assertTrue(
-          deadline <= writtenAt[0] + 10_000 + CLOCKS_MS,
+          deadline <= writtenAt[0] + 10_000 + CLOCK_TOLERANCE_MILLIS,
           deadline - writtenAt[0] + " ms from when it was written");
     }
   }
 
   @Test
-  void aLoopThatIsLateKeepsMoreOfARequestsTimeToTellItsClient() throws Exception {
+  void lateEventLoopReservesMoreOfTheDeadlineForTheResponse() throws Exception {
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer caller = healthyCaller(stage);
+      HttpPeer client = connectAndCheckHealth(stage);
       LinkedBlockingQueue<ClientRequest> requests = new LinkedBlockingQueue<>();
       stage.policy.onRequest = requests::add;
-      keepBusy(stage, () -> TimeUnit.MILLISECONDS.sleep(LATE_MS));
-      caller.write(ProxyFixture.idempotentRequest("1", "2"));
+      blockEventLoop(stage, () -> TimeUnit.MILLISECONDS.sleep(BLOCKED_MILLIS));
+      client.write(ProxyFixture.idempotentRequest("1", "2"));
       double written = stage.server.now();
-      double kept = written + 2_000 - ScriptedPolicy.takeNext(requests).deadlineMillis();
-      assertTrue(kept >= LATE_MS - CLOCKS_MS, kept + " ms");
+      double reservedMillis = written + 2_000 - ScriptedPolicy.takeNext(requests).deadlineMillis();
+      assertTrue(reservedMillis >= BLOCKED_MILLIS - CLOCK_TOLERANCE_MILLIS, reservedMillis + " ms");
     }
   }
 
@@ -150,10 +150,10 @@
     "0.2, 10, 180",
     "0.2, 30, 170"
   })
-  void howeverLateALoopIsMostOfARequestsTimeIsLeft(String remaining, double lateness, double left)
+  void lateEventLoopLeavesMostOfTheDeadline(String remaining, double lateness, double left)
       throws Exception {
     try (ProxyFixture stage = new ProxyFixture()) {
-      RequestValidator check =
+      RequestValidator validator =
           new RequestValidator(
               ProxyConfig.parse(
                   JsonReader.read(
@@ -161,25 +161,25 @@
       FullHttpRequest request =
           new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/look-up/7");
       request.headers().set("X-Txn", "1").set("X-Lane", "look-up").set("X-Remaining", remaining);
-      assertEquals(left, check.read(request, 0, lateness).deadline());
+      assertEquals(left, validator.read(request, 0, lateness).deadline());
     }
   }
 
   @Test
-  void theLogTellsHowLateTheLoopWas() throws Exception {
+  void latenessOfTheEventLoopIsLogged() throws Exception {
     LinkedBlockingQueue<String> lines = new LinkedBlockingQueue<>();
     Handler log =
         new Handler() {
           @Override
           public void publish(LogRecord line) {
-            if (line.getMessage().startsWith("the event loop was late")) {
+            if (line.getMessage().startsWith("event loop late: ")) {
               lines.add(line.getMessage());
             }
           }
 
           @Override
           public void flush() {
-            // Nothing is held back.
+            // Nothing is buffered.
           }
 
           @Override
@@ -189,23 +189,25 @@
         };
     ProxyLogger.LOGGER.addHandler(log);
     try (ProxyFixture stage = new ProxyFixture().start()) {
-      keepBusy(stage, () -> TimeUnit.MILLISECONDS.sleep(LATE_MS));
-      Matcher told =
-          Pattern.compile(" and (\\d+) ms at most").matcher(ScriptedPolicy.takeNext(lines));
-      assertTrue(told.find());
-      assertTrue(Integer.parseInt(told.group(1)) >= LATE_MS - CLOCKS_MS, told.group());
+      blockEventLoop(stage, () -> TimeUnit.MILLISECONDS.sleep(BLOCKED_MILLIS));
+      Matcher line =
+          Pattern.compile("event loop late: iterations=\\d+ p50_ms=\\d+ p99_ms=\\d+ max_ms=(\\d+)")
+              .matcher(ScriptedPolicy.takeNext(lines));
+      assertTrue(line.matches());
+      assertTrue(
+          Integer.parseInt(line.group(1)) >= BLOCKED_MILLIS - CLOCK_TOLERANCE_MILLIS, line.group());
     } finally {
       ProxyLogger.LOGGER.removeHandler(log);
     }
   }
 
   @Test
-  void theGraceOfADrainRunsWhileItsNewsLiesUnread() throws Exception {
+  void drainGracePeriodCountsTheTimeThatTheUpdateWaitedUnread() throws Exception {
     try (ProxyFixture stage = new ProxyFixture();
         FullBacklogListener full = new FullBacklogListener()) {
       stage.connectTimeoutMillis = 15_000;
-      // Half of it is left to what waits for its connection, and the news lies unread for longer.
-      stage.drainGraceMillis = LATE_MS;
+      // The update stays unread for longer than the part of the grace period that sending may use.
+      stage.drainGraceMillis = BLOCKED_MILLIS;
       HttpPeer watch = startWatching(stage);
       watch.write(
           ProxyFixture.okResponse(
@@ -213,11 +215,11 @@
                   42, true, ProxyFixture.endpointEntry(9, full.address(), "up"))));
       assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
       watch.read();
-      HttpPeer caller = healthyCaller(stage);
-      caller.write(ProxyFixture.atMostOnceRequest("1", "x"));
-      healthyCaller(stage);
+      HttpPeer client = connectAndCheckHealth(stage);
+      client.write(ProxyFixture.atMostOnceRequest("1", "x"));
+      connectAndCheckHealth(stage);
       HttpPeer[] late = new HttpPeer[1];
-      keepBusy(
+      blockEventLoop(
           stage,
           () -> {
             watch.write(
@@ -225,9 +227,9 @@
                     ProxyFixture.endpointList(
                         43, false, ProxyFixture.endpointEntry(9, full.address(), "draining"))));
             late[0] = full.acceptAfterBacklog();
-            TimeUnit.MILLISECONDS.sleep(LATE_MS);
+            TimeUnit.MILLISECONDS.sleep(BLOCKED_MILLIS);
           });
-      assertTrue(late[0].isClosedByPeer(), "the request was written after the grace");
+      assertTrue(late[0].isClosedByPeer(), "the request was sent after the grace period");
       assertEquals(AttemptOutcome.CONNECT_FAILED, stage.policy.nextOutcome());
       late[0].close();
     }
--- a/src/test/java/loadbalancer/proxy/ProxyFixture.java
+++ b/src/test/java/loadbalancer/proxy/ProxyFixture.java
@@ -46,7 +46,7 @@
   public String registryMode = "subscribe";
 
   /** How long the node waits for discovery's first answer before it lets callers in. */
-  public long firstUpdateTimeoutMillis = ProxyServer.FIRST_NEWS_MS;
+  public long firstUpdateTimeoutMillis = ProxyServer.FIRST_UPDATE_TIMEOUT_MILLIS;
 
   /**
    * How long a connection to an upstream rests between two requests, in ms; none, so that one will
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -13,20 +13,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a start costs, in counts that are the same on a slow machine and on one that is busy. */
+/** The cost of a start, in counts that do not depend on the load of the machine. */
 @Timeout(120)
 class StartupTest {
 
-  /**
-   * Classes from Jackson that a start may load: with its mapper there would be some four hundred.
-   */
-  private static final int MOST_OF_JACKSON = 150;
+  /** Guards against loading Jackson's object mapper, which needs several hundred classes. */
+  private static final int MAX_JACKSON_CLASSES = 150;
 
-  /** All classes that it may load where none are archived, the virtual machine's own with them. */
-  private static final int MOST_CLASSES = 2_500;
+  /** All classes loaded without a class archive, the JDK's own included. */
+  private static final int MAX_CLASSES = 2_500;
 
-  /** The names of the classes that a process has loaded by the time at which it serves. */
-  private static List<String> classesOfAStart() throws Exception {
+  /** The names of the classes that a process has loaded once it serves. */
+  private static List<String> classesLoadedAtStart() throws Exception {
     Path log = Files.createTempFile("classes", ".log");
     try (ProxyFixture stage = new ProxyFixture(2);
         ProxyProcess node =
@@ -44,22 +42,19 @@
   }
 
   @Test
-  void aStartLoadsNoMoreClassesThanItNeeds() throws Exception {
-    List<String> classes = classesOfAStart();
-    assertTrue(classes.contains(Main.class.getName()), "the log is of no use");
+  void startLoadsFewClasses() throws Exception {
+    List<String> classes = classesLoadedAtStart();
+    assertTrue(classes.contains(Main.class.getName()), "the log does not list loaded classes");
     assertEquals(
         List.of(), classes.stream().filter(name -> name.endsWith(".ObjectMapper")).toList());
     long jackson =
         classes.stream().filter(name -> name.startsWith("com.fasterxml.jackson.")).count();
-    assertTrue(jackson <= MOST_OF_JACKSON, jackson + " classes of Jackson");
-    assertTrue(classes.size() <= MOST_CLASSES, classes.size() + " classes");
+    assertTrue(jackson <= MAX_JACKSON_CLASSES, jackson + " classes of Jackson");
+    assertTrue(classes.size() <= MAX_CLASSES, classes.size() + " classes");
   }
 
-  /**
-   * A program that writes a part of its archive before it serves and the rest when it ends, if it
-   * ends.
-   */
-  private static Process writer(Path part, String atTerm) throws IOException {
+  /** A process that writes half of its archive and handles SIGTERM by {@code atTerm}. */
+  private static Process startArchiveWriter(Path part, String atTerm) throws IOException {
     Process process =
         new ProcessBuilder(
                 "/bin/sh",
@@ -75,11 +70,11 @@
   }
 
   @Test
-  void anArchiveThatIsNotWholeTakesNoPlace() throws Exception {
+  void incompleteClassArchiveIsDiscarded() throws Exception {
     Path folder = Files.createTempDirectory("archive");
     Path part = folder.resolve("classes.part");
     Path archive = folder.resolve("classes");
-    Process stuck = writer(part, ":");
+    Process stuck = startArchiveWriter(part, ":");
     try {
       ClassArchiveRecorder.keep(stuck, part, archive, Duration.ofMillis(1));
       assertFalse(stuck.isAlive());
@@ -88,7 +83,7 @@
     } finally {
       stuck.destroyForcibly();
     }
-    Process ending = writer(part, "printf whole >> \"$0\"; exit 143");
+    Process ending = startArchiveWriter(part, "printf whole >> \"$0\"; exit 143");
     try {
       ClassArchiveRecorder.keep(ending, part, archive, Duration.ofMillis(HttpPeer.TIMEOUT_MILLIS));
       assertEquals("halfwhole", Files.readString(archive));
