--- a/src/main/java/loadbalancer/benchmark/SimulatedBalancer.java
+++ b/src/main/java/loadbalancer/benchmark/SimulatedBalancer.java
@@ -16,6 +16,7 @@
 import loadbalancer.policy.PolicyActions;
 import loadbalancer.proxy.config.ProxyConfig;
 import loadbalancer.proxy.discovery.DiscoveryClient;
+import loadbalancer.proxy.discovery.EndpointListParser;
 import loadbalancer.proxy.discovery.EndpointListUpdate;
 import loadbalancer.proxy.eventloop.Clock;
 import loadbalancer.proxy.json.JsonReader;
@@ -68,10 +69,8 @@
 
     /** Reads a list as a balancer does: the bytes into a tree, the tree into entries. */
     public List<Endpoint> list(byte[] body) throws IOException {
-      return EndpointListUpdate.parse(
-              JsonReader.read(new ByteArrayInputStream(body)),
-              config.zones(),
-              config.machineTypes())
+      return new EndpointListParser(config.zones(), config.machineTypes())
+          .parse(JsonReader.read(new ByteArrayInputStream(body)))
           .endpoints();
     }
 
@@ -116,7 +115,12 @@
     config = template.at(position, seed);
     discovery =
         new DiscoveryClient(
-            loop, config, memory, this::told, () -> {}, DiscoveryClient.MAX_WATCH_MILLIS);
+            loop,
+            config.discoverySettings(),
+            memory,
+            this::told,
+            () -> {},
+            DiscoveryClient.MAX_WATCH_MILLIS);
   }
 
   /** Starts one on a loop; its watch begins as that of {@code ProxyServer} does. */
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -136,7 +136,7 @@
     discovery =
         new DiscoveryClient(
             loop,
-            config,
+            config.discoverySettings(),
             memory,
             this::told,
             () -> sockets.evictIdleConnections(clock.now()),
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/config/InvalidConfigurationValueException.java
@@ -0,0 +1,11 @@
+package loadbalancer.proxy.config;
+
+/** A value of the configuration is malformed; the message names its key and what was expected. */
+public final class InvalidConfigurationValueException extends IllegalArgumentException {
+
+  private static final long serialVersionUID = 1;
+
+  InvalidConfigurationValueException(String key, String problem, Throwable cause) {
+    super(key + ": " + problem, cause);
+  }
+}
--- a/src/main/java/loadbalancer/proxy/config/ProxyConfig.java
+++ b/src/main/java/loadbalancer/proxy/config/ProxyConfig.java
@@ -5,22 +5,31 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import loadbalancer.model.PolicySettings;
+import loadbalancer.proxy.discovery.DiscoverySettings;
+import loadbalancer.proxy.discovery.EndpointListParser;
 import loadbalancer.proxy.discovery.EndpointListUpdate;
 import loadbalancer.proxy.json.JsonReader;
 import loadbalancer.settings.MalformedInputException;
 import loadbalancer.settings.SettingsParser;
 
 /**
- * What the platform tells a balancer in the file that {@code PROXY_CONFIG} names.
+ * The configuration file of one instance, which the environment variable {@code PROXY_CONFIG}
+ * names.
  *
+ * @param name the name of the instance in its log
+ * @param listen where it accepts clients
+ * @param discovery where discovery listens
+ * @param seed the seed of its random decisions
  * @param maxDescriptors how many file descriptors the process may hold
- * @param zones the names of the zones, by the index that the module uses; likewise the others
- * @param knownEndpoints the upstreams as this balancer last had them
+ * @param settings the settings of the policy
+ * @param zones the names of the zones, by the index that the policy uses
+ * @param machineTypes the names of the machine types, likewise
+ * @param requestClasses the names of the request classes, likewise
+ * @param tenants the names of the tenants, likewise
+ * @param knownEndpoints the endpoint list that the instance starts with; it may be stale
  */
 public record ProxyConfig(
     String name,
@@ -35,6 +44,15 @@
     List<String> tenants,
     EndpointListUpdate knownEndpoints) {
 
+  private static final int DEFAULT_MAX_DESCRIPTORS = 1_024;
+  private static final int SEED_RADIX = 16;
+
+  /**
+   * Reads a configuration file.
+   *
+   * @throws ConfigurationException if the path is null or empty, or the file cannot be read or is
+   *     malformed; the message names the file
+   */
   public static ProxyConfig read(String path) throws ConfigurationException {
     if (path == null || path.isEmpty()) {
       throw new ConfigurationException("PROXY_CONFIG names no file");
@@ -42,84 +60,66 @@
     try (InputStream file = new FileInputStream(path)) {
       return parse(JsonReader.read(file));
     } catch (IOException e) {
-      String why = e.getMessage().lines().findFirst().orElse("");
-      throw new ConfigurationException("cannot read " + path + ": " + why);
+      String reason = e.getMessage().lines().findFirst().orElse("");
+      throw new ConfigurationException("cannot read " + path + ": " + reason, e);
     } catch (IllegalArgumentException | MalformedInputException e) {
-      throw new ConfigurationException(path + ": " + e.getMessage());
+      throw new ConfigurationException(path + ": " + e.getMessage(), e);
     }
   }
 
+  /**
+   * Reads the JSON form of a configuration.
+   *
+   * @throws IllegalArgumentException if an address, the seed or the endpoint list is malformed
+   * @throws MalformedInputException if a setting of the policy is missing or malformed
+   */
   public static ProxyConfig parse(JsonNode root) {
-    JsonNode given = root.path("settings");
-    StringBuilder lines = new StringBuilder();
-    flatten("", given, lines);
-    PolicySettings settings =
-        SettingsParser.parse(lines.toString().getBytes(StandardCharsets.UTF_8));
-    List<String> zones = names(given.path("zones"));
-    List<String> kinds = names(given.path("machineTypes"));
+    JsonNode settingsNode = root.path("settings");
+    PolicySettings settings = SettingsParser.parse(SettingsFlattener.flatten(settingsNode));
+    List<String> zones = names(settingsNode.path("zones"));
+    List<String> machineTypes = names(settingsNode.path("machineTypes"));
     return new ProxyConfig(
         root.path("name").asText("balancer"),
-        address(root, "listen"),
-        address(root, "discovery"),
-        seed(root.path("seed").asText("")),
-        root.path("limits").path("sockets").asInt(1_024),
+        parseAddress(root, "listen"),
+        parseAddress(root, "discovery"),
+        parseSeed(root),
+        root.path("limits").path("sockets").asInt(DEFAULT_MAX_DESCRIPTORS),
         settings,
         zones,
-        kinds,
-        names(given.path("services")),
-        names(given.path("tenants")),
-        EndpointListUpdate.parse(root.path("known"), zones, kinds));
+        machineTypes,
+        names(settingsNode.path("services")),
+        names(settingsNode.path("tenants")),
+        new EndpointListParser(zones, machineTypes).parse(root.path("known")));
+  }
+
+  /** The part of this configuration that the discovery client needs. */
+  public DiscoverySettings discoverySettings() {
+    return new DiscoverySettings(
+        discovery, settings.explicitWatch(), zones, machineTypes, seed, knownEndpoints.version());
   }
 
-  private static InetSocketAddress address(JsonNode root, String key) {
+  private static InetSocketAddress parseAddress(JsonNode root, String key) {
     try {
-      return EndpointListUpdate.address(root.path(key).asText(""));
+      return EndpointListParser.parseAddress(root.path(key).asText(""));
     } catch (IllegalArgumentException e) {
-      throw new IllegalArgumentException(key + ": " + e.getMessage(), e);
+      throw new InvalidConfigurationValueException(key, e.getMessage(), e);
     }
   }
 
-  private static long seed(String text) {
+  private static long parseSeed(JsonNode root) {
+    String text = root.path("seed").asText("");
     try {
-      return Long.parseUnsignedLong(text, 16);
+      return Long.parseUnsignedLong(text, SEED_RADIX);
     } catch (NumberFormatException e) {
-      throw new IllegalArgumentException("seed '" + text + "' is no hexadecimal number", e);
+      throw new InvalidConfigurationValueException(
+          "seed", "'" + text + "' is no hexadecimal number", e);
     }
   }
 
-  /** The names in a list, or those of the objects in it. */
+  /** The items of a list of names, or the names of a list of objects. */
   private static List<String> names(JsonNode list) {
     List<String> names = new ArrayList<>();
     list.forEach(item -> names.add(item.isObject() ? item.path("name").asText() : item.asText()));
     return List.copyOf(names);
   }
-
-  /** Writes nested settings as the {@code path=value} lines of the simulator's first message. */
-  private static void flatten(String path, JsonNode value, StringBuilder lines) {
-    if (value.isObject()) {
-      for (Map.Entry<String, JsonNode> field : value.properties()) {
-        String name = path.isEmpty() ? field.getKey() : path + "." + field.getKey();
-        flatten(name, field.getValue(), lines);
-      }
-    } else if (value.isArray() && value.size() > 0 && value.get(0).isObject()) {
-      line(path + ".count", Integer.toString(value.size()), lines);
-      for (int i = 0; i < value.size(); i++) {
-        flatten(path + "." + i, value.get(i), lines);
-      }
-    } else if (value.isArray()) {
-      List<String> items = new ArrayList<>();
-      value.forEach(item -> items.add(plain(item)));
-      line(path, String.join(",", items), lines);
-    } else if (!value.isNull() && !value.isMissingNode()) {
-      line(path, plain(value), lines);
-    }
-  }
-
-  private static String plain(JsonNode value) {
-    return value.asText().replaceAll("[\\s,]", "_");
-  }
-
-  private static void line(String path, String value, StringBuilder lines) {
-    lines.append(path).append('=').append(value).append('\n');
-  }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/json/package-info.java
@@ -0,0 +1,2 @@
+/** Reads JSON into Jackson's tree without its object mapper. Stateless, for any thread. */
+package loadbalancer.proxy.json;
--- a/src/test/java/loadbalancer/ArchitectureTest.java
+++ b/src/test/java/loadbalancer/ArchitectureTest.java
@@ -109,6 +109,15 @@
           .dependOnClassesThat()
           .resideInAnyPackage("loadbalancer.proxy.frontend", "loadbalancer.proxy.config");
 
+  @ArchTest
+  static final ArchRule DISCOVERY_DOES_NOT_KNOW_THE_CONFIGURATION_FILE =
+      noClasses()
+          .that()
+          .resideInAPackage("loadbalancer.proxy.discovery")
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage("loadbalancer.proxy.config", "loadbalancer.settings");
+
   @ArchTest
   static final ArchRule EVENT_LOOP_PARTS_KNOW_NOTHING_ELSE =
       noClasses()
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -6,7 +6,9 @@
 
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import io.netty.buffer.ByteBufAllocator;
+import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
+import io.netty.channel.ChannelFactory;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -285,6 +287,9 @@
     private final LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
     private final DiscoveryClient discovery;
 
+    /** Where its sockets come from; changed on the loop only, once the client is in use. */
+    private ChannelFactory<Channel> channelFactory = NioSocketChannel::new;
+
     /** Its watches wait for at most so long, in ms. */
     Lone(ProxyFixture stage, String address, int watchMillis) throws Exception {
       Path file = Files.createTempFile("node", ".json");
@@ -292,11 +297,13 @@
         Files.writeString(file, stage.config().replace(stage.discovery.address(), address));
         discovery =
             new DiscoveryClient(
-                loop,
-                ProxyConfig.read(file.toString()),
-                ByteBufAllocator.DEFAULT,
-                (change, roster) -> told.add(change.name()),
-                () -> told.add(ROOM),
+                ProxyConfig.read(file.toString()).discoverySettings(),
+                new DiscoveryTransport(
+                    loop,
+                    ByteBufAllocator.DEFAULT,
+                    () -> channelFactory.newChannel(),
+                    () -> told.add(ROOM)),
+                (type, update) -> told.add(type.name()),
                 watchMillis);
       } finally {
         Files.delete(file);
@@ -365,16 +372,16 @@
   void aCallThatFindsNoDescriptorFailsMakesRoomAndCanBeMadeAgain() throws Exception {
     try (stage;
         Lone lone = new Lone(stage, stage.discovery.address(), DiscoveryClient.MAX_WATCH_MILLIS)) {
-      lone.discovery.openBy(
+      lone.channelFactory =
           () -> {
             throw new ChannelException("made by a test");
-          });
+          };
       for (int i = 0; i < 2; i++) {
         lone.watch(TIME_UP_MS);
         assertEquals(Lone.ROOM, ScriptedPolicy.takeNext(lone.told));
         assertEquals("FAILED", ScriptedPolicy.takeNext(lone.told));
       }
-      lone.loop.execute(() -> lone.discovery.openBy(NioSocketChannel::new));
+      lone.loop.execute(() -> lone.channelFactory = NioSocketChannel::new);
       lone.watch(TIME_UP_MS);
       HttpPeer watch = stage.discovery.accept();
       assertWatches(41, watch);
