--- a/src/main/java/loadbalancer/settings/MalformedInputException.java
+++ b/src/main/java/loadbalancer/settings/MalformedInputException.java
@@ -1,10 +1,14 @@
 package loadbalancer.settings;
 
-/** Input that the wire does not allow; the message says what and where, in one line. */
+/**
+ * The settings or a frame of the simulator are malformed. The message says what is wrong and where,
+ * in one line.
+ */
 public final class MalformedInputException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
+  /** Reports what is wrong and where. */
   public MalformedInputException(String message) {
     super(message);
   }
--- a/src/main/java/loadbalancer/settings/SettingsParser.java
+++ b/src/main/java/loadbalancer/settings/SettingsParser.java
@@ -25,7 +25,13 @@
  */
 public final class SettingsParser {
 
-  private static final int MAX_ITEMS = 10_000;
+  private static final int MAX_LIST_ITEMS = 10_000;
+
+  private static final Map<String, Boolean> EXPLICIT_WATCH =
+      Map.of("automatic", false, "subscribe", true);
+
+  private static final Map<String, Boolean> PRIORITY_BY_WORK =
+      Map.of("request", false, "work", true);
 
   private static final Map<String, LoadReportMode> LOAD_REPORT_MODES =
       Map.of(
@@ -45,29 +51,30 @@
           "zone", DeduplicationScope.ZONE,
           "cell", DeduplicationScope.GROUP);
 
-  /** Looked up by key only, never iterated. */
+  /** The value of each setting. Looked up by key only, never iterated. */
   private final Map<String, String> values = new HashMap<>();
 
   private SettingsParser(String text) {
-    int number = 0;
+    int lineNumber = 0;
     for (String line : text.split("\n", -1)) {
-      number++;
+      lineNumber++;
       String trimmed = line.strip();
       if (trimmed.isEmpty()) {
         continue;
       }
       int equals = trimmed.indexOf('=');
       if (equals <= 0) {
-        throw new MalformedInputException("settings line " + number + " is no path=value pair");
+        throw new MalformedInputException("settings line " + lineNumber + " is no path=value pair");
       }
       values.put(trimmed.substring(0, equals), trimmed.substring(equals + 1));
     }
   }
 
   /**
-   * Parses the lines.
+   * Parses the lines, in UTF-8.
    *
-   * @throws MalformedInputException if a setting is missing or has a bad value
+   * @throws MalformedInputException if a setting is missing or has a bad value; the message names
+   *     its key
    */
   public static PolicySettings parse(byte[] text) {
     try {
@@ -79,9 +86,7 @@
   }
 
   private PolicySettings settings() {
-    if (!values.containsKey("services.count")) {
-      throw new MalformedInputException("setting services.count is missing");
-    }
+    text("services.count");
     int instanceIndex = integer("position");
     int instanceCount = integer("siblings");
     int tier = integer("tier");
@@ -89,11 +94,9 @@
     int zone = integer("zone");
     requireNames("zones");
     int machineTypeCount = Math.max(1, names("machineTypes").size());
-    boolean explicitWatch = choice("registryMode", Map.of("automatic", false, "subscribe", true));
-    requireBoolIfPresent("familyInfo.passesDeadline");
-    requireBoolIfPresent("familyInfo.warmKeys");
-    requireBoolIfPresent("callers.marksRetry");
-    boolean priorityByWork = choice("worthBy", Map.of("request", false, "work", true));
+    boolean explicitWatch = choice("registryMode", EXPLICIT_WATCH);
+    requireProtocolHints();
+    boolean priorityByWork = choice("worthBy", PRIORITY_BY_WORK);
     requireNumberIfPresent("overShareWorth");
     requireOneOf("weightKind", Set.of("silent", "nominal", "rough", "live"));
     LoadReportMode loadReportMode = choice("stats.how", LOAD_REPORT_MODES);
@@ -122,6 +125,12 @@
         costs);
   }
 
+  private void requireProtocolHints() {
+    requireBoolIfPresent("familyInfo.passesDeadline");
+    requireBoolIfPresent("familyInfo.warmKeys");
+    requireBoolIfPresent("callers.marksRetry");
+  }
+
   private RequestClass requestClass(String path) {
     Idempotency idempotency = choice(path + "idempotency", IDEMPOTENCIES);
     boolean deduplicated = idempotency == Idempotency.DEDUPLICATED;
@@ -257,6 +266,7 @@
     return value;
   }
 
+  /** A finite number. */
   private double number(String key) {
     try {
       double value = Double.parseDouble(text(key));
@@ -318,15 +328,15 @@
     return List.copyOf(indices);
   }
 
-  private <T> List<T> items(String key, Function<String, T> item) {
+  private <T> List<T> items(String key, Function<String, T> parser) {
     // A site without tenants leaves the whole list out.
     int count = values.containsKey(key + ".count") ? integer(key + ".count") : 0;
-    if (count < 0 || count > MAX_ITEMS) {
+    if (count < 0 || count > MAX_LIST_ITEMS) {
       throw invalid(key + ".count");
     }
     List<T> items = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      items.add(item.apply(key + "." + i + "."));
+      items.add(parser.apply(key + "." + i + "."));
     }
     return List.copyOf(items);
   }
--- /dev/null
+++ b/src/main/java/loadbalancer/simulation/ActionCode.java
@@ -0,0 +1,29 @@
+package loadbalancer.simulation;
+
+/** The kinds of records in a reply. */
+enum ActionCode {
+  REJECT(0),
+  CHECK_HEALTH(1),
+  FAIL_REQUEST(2),
+  SEND_ATTEMPT(3),
+  /** The policy failed with an exception. */
+  FAULT(4),
+  CLOSE_IDLE_CONNECTIONS(5),
+  LOG(6),
+  WATCH_ENDPOINTS(7),
+  CANCEL_ATTEMPT(8),
+  SEND_TO_PEER(9),
+  FETCH_ENDPOINTS(10),
+  SCHEDULE_TIMER(11);
+
+  private final byte code;
+
+  ActionCode(int code) {
+    this.code = (byte) code;
+  }
+
+  /** The code in the protocol. */
+  byte code() {
+    return code;
+  }
+}
--- a/src/main/java/loadbalancer/simulation/LittleEndian.java
+++ b/src/main/java/loadbalancer/simulation/LittleEndian.java
@@ -4,9 +4,12 @@
 import java.lang.invoke.VarHandle;
 import java.nio.ByteOrder;
 
-/** Little-endian values in a byte array. */
+/** Reads and writes little-endian values in a byte array at a byte offset. */
 final class LittleEndian {
 
+  /** How many bytes an endpoint's ID takes. */
+  static final int ENDPOINT_ID_BYTES = Integer.BYTES + Short.BYTES;
+
   private static final VarHandle SHORT = view(short[].class);
   private static final VarHandle INT = view(int[].class);
   private static final VarHandle LONG = view(long[].class);
@@ -19,10 +22,12 @@
     return MethodHandles.byteArrayViewVarHandle(arrayType, ByteOrder.LITTLE_ENDIAN);
   }
 
+  /** An unsigned byte. */
   static int getByte(byte[] bytes, int at) {
     return bytes[at] & 0xff;
   }
 
+  /** An unsigned short. */
   static int getShort(byte[] bytes, int at) {
     return (short) SHORT.get(bytes, at) & 0xffff;
   }
@@ -47,9 +52,9 @@
     return (double) DOUBLE.get(bytes, at);
   }
 
-  /** An upstream's four address bytes and port, kept as they came. */
-  static long getUpstream(byte[] bytes, int at) {
-    return getUnsignedInt(bytes, at) | (long) getShort(bytes, at + 4) << 32;
+  /** An endpoint's ID: four address bytes and a port, kept as they came. */
+  static long getEndpointId(byte[] bytes, int at) {
+    return getUnsignedInt(bytes, at) | (long) getShort(bytes, at + Integer.BYTES) << Integer.SIZE;
   }
 
   static void putShort(byte[] bytes, int at, int value) {
@@ -68,8 +73,8 @@
     DOUBLE.set(bytes, at, value);
   }
 
-  static void putUpstream(byte[] bytes, int at, long upstream) {
-    putInt(bytes, at, (int) upstream);
-    putShort(bytes, at + 4, (int) (upstream >>> 32));
+  static void putEndpointId(byte[] bytes, int at, long endpointId) {
+    putInt(bytes, at, (int) endpointId);
+    putShort(bytes, at + Integer.BYTES, (int) (endpointId >>> Integer.SIZE));
   }
 }
--- a/src/main/java/loadbalancer/simulation/SimulationMain.java
+++ b/src/main/java/loadbalancer/simulation/SimulationMain.java
@@ -13,15 +13,23 @@
 import loadbalancer.settings.MalformedInputException;
 
 /**
- * The command line: {@code wire} reads batches on standard input and answers on standard output.
+ * The command {@code wire}: reads frames of the simulator on standard input and answers each on
+ * standard output.
  */
 public final class SimulationMain {
 
+  private static final String COMMAND = "wire";
+  private static final int STATUS_OK = 0;
+  private static final int STATUS_FAILED = 1;
+  private static final int STATUS_USAGE = 2;
   private static final int BUFFER_BYTES = 1 << 16;
 
   private SimulationMain() {}
 
-  /** Runs the adapter and exits with its status. */
+  /**
+   * Runs the command and exits: with 0 after the last frame, 1 for malformed input, 2 for wrong
+   * arguments.
+   */
   public static void main(String[] args) {
     InputStream in = new BufferedInputStream(new FileInputStream(FileDescriptor.in), BUFFER_BYTES);
     OutputStream out =
@@ -30,16 +38,16 @@
   }
 
   static int run(String[] args, InputStream in, OutputStream out, PrintStream err) {
-    if (args.length != 1 || !args[0].equals("wire")) {
-      err.println("usage: java -jar load-balancer.jar wire");
-      return 2;
+    if (args.length != 1 || !args[0].equals(COMMAND)) {
+      err.println("usage: java -jar load-balancer.jar " + COMMAND);
+      return STATUS_USAGE;
     }
     try {
       new SimulationHost(LatencyWeightedPolicy::new).serve(in, out);
-      return 0;
+      return STATUS_OK;
     } catch (MalformedInputException | IOException e) {
       err.println("load-balancer: " + e.getMessage());
-      return 1;
+      return STATUS_FAILED;
     }
   }
 }
--- a/src/test/java/loadbalancer/simulation/SimulationHostTest.java
+++ b/src/test/java/loadbalancer/simulation/SimulationHostTest.java
@@ -72,8 +72,8 @@
   }
 
   private static byte[] entry(long upstream) {
-    byte[] entry = new byte[SimulationHost.ENTRY_BYTES];
-    LittleEndian.putUpstream(entry, 0, upstream);
+    byte[] entry = new byte[EndpointLists.ENTRY_BYTES];
+    LittleEndian.putEndpointId(entry, 0, upstream);
     entry[11] = 1;
     LittleEndian.putInt(entry, 12, Float.floatToIntBits(1f));
     return entry;
@@ -107,7 +107,7 @@
     LittleEndian.putLong(record, 5, id);
     record[13] = (byte) (code == 10 ? 1 : 0);
     record[14] = (byte) code;
-    LittleEndian.putUpstream(record, 15, UPSTREAM);
+    LittleEndian.putEndpointId(record, 15, UPSTREAM);
     LittleEndian.putDouble(record, 23, 20);
     return record;
   }
