--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -91,7 +91,7 @@
             listener ->
                 new DiscoveryClient(
                     loop,
-                    config,
+                    config.discoverySettings(),
                     allocator,
                     listener,
                     () -> descriptors.evictIdleConnections(clock.now()),
