--- a/src/main/java/loadbalancer/proxy/InFlightExchange.java
+++ b/src/main/java/loadbalancer/proxy/InFlightExchange.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.Future;
 import java.util.function.Consumer;
 import loadbalancer.proxy.frontend.RequestDispatcher;
-import loadbalancer.proxy.upstream.UpstreamClient;
+import loadbalancer.proxy.upstream.UpstreamAttempt;
 
 /** A request from its arrival until it has its one answer and none of its attempts is out. */
 final class InFlightExchange implements RequestDispatcher.DispatchedRequest {
@@ -17,7 +17,7 @@
   final long id;
   final FullHttpRequest request;
   final double deadline;
-  final List<UpstreamClient.Attempt> attempts = new ArrayList<>(2);
+  final List<UpstreamAttempt> attempts = new ArrayList<>(2);
 
   /**
    * How many attempts were asked for, and how many of them are out; one not sent is null in the
@@ -78,8 +78,6 @@
     if (overdueTimer != null) {
       overdueTimer.cancel(false);
     }
-    attempts.stream()
-        .filter(Objects::nonNull)
-        .forEach(UpstreamClient.Attempt::abandonUnlessWritten);
+    attempts.stream().filter(Objects::nonNull).forEach(UpstreamAttempt::abandonUnlessWritten);
   }
 }
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -44,6 +44,7 @@
 import loadbalancer.proxy.logging.ProxyLogger;
 import loadbalancer.proxy.protocol.ProtocolHeaders;
 import loadbalancer.proxy.upstream.LoadReportParser;
+import loadbalancer.proxy.upstream.UpstreamAttempt;
 import loadbalancer.proxy.upstream.UpstreamClient;
 
 /**
@@ -519,7 +520,7 @@
     }
   }
 
-  private static void cancel(UpstreamClient.Attempt attempt) {
+  private static void cancel(UpstreamAttempt attempt) {
     if (attempt != null) {
       attempt.cancel();
     }
--- a/src/main/java/loadbalancer/proxy/upstream/ConnectTimeEstimate.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ConnectTimeEstimate.java
@@ -1,45 +1,48 @@
 package loadbalancer.proxy.upstream;
 
+import java.util.OptionalDouble;
+
 /**
- * The usual time in which connections come up, a median, and how long to wait before a late one is
- * dialled once more: one lost or late handshake would else cost the whole connect time-out. Not
- * thread-safe.
+ * The median time in which connections are established, and the delay after which a late connect is
+ * retried: one lost or late handshake would else cost the whole connect timeout. Confined to the
+ * event loop.
  */
 final class ConnectTimeEstimate {
 
-  /**
-   * A connection is dialled once more after so many times the usual time, within these bounds in
-   * ms, the upper one a part of the connect time-out.
-   */
-  private static final double RETRY_FACTOR = 4;
+  /** The retry delay as a multiple of the median, before its bounds apply. */
+  private static final double RETRY_DELAY_PER_MEDIAN = 4;
 
-  private static final double LEAST_RETRY_MS = 10;
-  private static final double MOST_RETRY_SHARE = 0.25;
+  private static final double MIN_RETRY_DELAY_MILLIS = 10;
 
-  /** Step of the estimate, relative to its value. */
-  private static final double STEP = 0.1;
+  /** The largest retry delay as a share of the connect timeout. */
+  private static final double MAX_RETRY_DELAY_SHARE = 0.25;
 
-  private final double longest;
-  private double median;
+  /** Relative step by which one observation moves the median. */
+  private static final double MEDIAN_STEP = 0.1;
 
-  /** {@code timeout} in ms is that of a connection; the estimate begins at its longest. */
-  ConnectTimeEstimate(double timeout) {
-    longest = timeout * MOST_RETRY_SHARE;
-    median = longest / RETRY_FACTOR;
-  }
+  private final double maxRetryDelayMillis;
+  private double medianMillis;
 
-  /** A connection came up in so many ms. */
-  void observe(double millis) {
-    median *= 1 + (millis > median ? STEP : -STEP);
+  /**
+   * Starts with the given median.
+   *
+   * @param timeoutMillis the connect timeout
+   * @param initialMedianMillis the first estimate; if empty, the one with the largest retry delay
+   */
+  ConnectTimeEstimate(double timeoutMillis, OptionalDouble initialMedianMillis) {
+    maxRetryDelayMillis = timeoutMillis * MAX_RETRY_DELAY_SHARE;
+    medianMillis = initialMedianMillis.orElse(maxRetryDelayMillis / RETRY_DELAY_PER_MEDIAN);
   }
 
-  /** Replaces the estimate, in ms; for tests. */
-  void set(double millis) {
-    median = millis;
+  /** Takes in how many milliseconds a connection took to be established. */
+  void observe(double connectMillis) {
+    medianMillis *= 1 + (connectMillis > medianMillis ? MEDIAN_STEP : -MEDIAN_STEP);
   }
 
-  /** Ms to wait for a connection before it is dialled once more. */
-  double retryAfter() {
-    return Math.min(longest, Math.max(LEAST_RETRY_MS, RETRY_FACTOR * median));
+  /** Milliseconds to wait for a connection before the connect is retried. */
+  double retryDelayMillis() {
+    return Math.min(
+        maxRetryDelayMillis,
+        Math.max(MIN_RETRY_DELAY_MILLIS, RETRY_DELAY_PER_MEDIAN * medianMillis));
   }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/upstream/ForwardedRequest.java
@@ -0,0 +1,63 @@
+package loadbalancer.proxy.upstream;
+
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpVersion;
+import java.util.List;
+import loadbalancer.proxy.protocol.ProtocolHeaders;
+
+/** Builds the request that an endpoint receives from the request of a client. Stateless. */
+final class ForwardedRequest {
+
+  private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
+
+  /** The end-to-end headers that are forwarded; all others concern the client's connection only. */
+  private static final List<String> FORWARDED_HEADERS =
+      List.of(
+          ProtocolHeaders.REQUEST_ID,
+          IDEMPOTENCY_KEY,
+          ProtocolHeaders.REQUEST_CLASS,
+          ProtocolHeaders.TENANT,
+          "Cookie",
+          ProtocolHeaders.CLIENT_RETRY,
+          ProtocolHeaders.COST_ESTIMATE,
+          ProtocolHeaders.LABELS);
+
+  private ForwardedRequest() {}
+
+  /**
+   * Returns a request to write to an endpoint; it shares the body, retained, with the client's.
+   *
+   * @param host the endpoint's host
+   * @param remainingMillis the time that is left for the attempt
+   */
+  static FullHttpRequest create(FullHttpRequest request, String host, double remainingMillis) {
+    FullHttpRequest forwarded =
+        new DefaultFullHttpRequest(
+            HttpVersion.HTTP_1_1,
+            request.method(),
+            request.uri(),
+            request.content().retainedDuplicate());
+    forwarded.headers().set("Host", host);
+    for (String name : FORWARDED_HEADERS) {
+      String value = request.headers().get(name);
+      if (value != null) {
+        forwarded.headers().set(name, value);
+      }
+    }
+    if (forwarded.content().isReadable() || forwarded.method().equals(HttpMethod.POST)) {
+      forwarded.headers().set("Content-Length", forwarded.content().readableBytes());
+    }
+    // Rounded down: the endpoint must not assume more time than is left.
+    forwarded
+        .headers()
+        .set(ProtocolHeaders.REMAINING_TIME, ProtocolHeaders.formatSeconds(remainingMillis));
+    return forwarded;
+  }
+
+  /** Whether the policy may retry the request after an attempt that may have run. */
+  static boolean isRetryable(FullHttpRequest request) {
+    return !request.method().equals(HttpMethod.POST) || request.headers().contains(IDEMPOTENCY_KEY);
+  }
+}
--- a/src/main/java/loadbalancer/proxy/upstream/IdleConnectionTrust.java
+++ b/src/main/java/loadbalancer/proxy/upstream/IdleConnectionTrust.java
@@ -1,81 +1,82 @@
 package loadbalancer.proxy.upstream;
 
 /**
- * How long a kept connection may have rested and still be trusted with a request. Its other end may
- * have given it up with no sign, or with one that is still on its way: what is written then is a
- * reset, and may have run. Guards against upstreams, and all between, that forget connections
- * sooner than they say. A stray break tells nothing of the rest before it, as connections break
- * under requests for other causes too, and to open new ones costs upstreams work each time: only
- * where many break at once is the rest held to blame.
+ * How long a pooled connection may have been idle and still carry a request. Guards against
+ * endpoints and middleboxes that drop idle connections without a sign: a request written to such a
+ * connection is reset, and may have run. Connections are reset under requests for other causes too,
+ * and new ones cost endpoints work, so the limit shrinks only when many resets on reuse occur.
+ * Confined to the event loop.
  */
 final class IdleConnectionTrust {
 
-  /**
-   * A rest that needs no trust: about what a batch of calls one after another leaves between them.
-   */
-  static final double FRESH_MILLIS = 50;
+  /** Up to this idle time a connection is fresh: no reset is put down to its idleness. */
+  static final double FRESH_IDLE_MILLIS = 50;
 
-  /** A reset later than this after the write has befallen the request and not the connection. */
+  /** A reset later than this after the write is due to the request, not to the idle time. */
   static final double IMMEDIATE_RESET_MILLIS = 50;
 
-  /** Growth of the trust in a second without a break: back to ten times after some ten seconds. */
-  private static final double RECOVERY = 1.25;
-
-  /**
-   * Weight of one use in the share of rested connections that broke, and what a second leaves of
-   * it.
-   */
-  private static final double GAIN = 0.1;
+  /** Growth of the idle limit per second. */
+  private static final double LIMIT_GROWTH_PER_SECOND = 1.25;
 
-  private static final double KEPT = 0.9;
+  /** Weight of one reuse in the share of reuses that were reset. */
+  private static final double RESET_SHARE_GAIN = 0.1;
 
-  /**
-   * The share above which the rest is to blame, and the one above which a request may be lost by
-   * it.
-   */
-  private static final double USUAL = 0.25;
+  /** What a second leaves of that share. */
+  private static final double RESET_SHARE_DECAY_PER_SECOND = 0.9;
 
-  private static final double SEEN = 0.01;
+  /** Above this share of resets the idle time is the cause, and the limit shrinks. */
+  private static final double SHRINK_RESET_SHARE = 0.25;
 
-  private final double longest;
-  private final double young;
-  private double trusted;
-  private double breaks;
+  /** Above this share of resets, requests that must not be retried use fresh connections only. */
+  private static final double CAUTION_RESET_SHARE = 0.01;
 
-  IdleConnectionTrust(double longest, double young) {
-    this.longest = longest;
-    this.young = young;
-    trusted = longest;
-  }
+  private final double maxIdleMillis;
+  private final double freshIdleMillis;
+  private double trustedIdleMillis;
+  private double resetShare;
 
   /**
-   * Whether a connection that has rested for so long may carry a request. While some break, one
-   * that must not be sent again, and would be lost with its connection, gets one that is young.
+   * Begins by trusting every idle time up to the maximum.
+   *
+   * @param maxIdleMillis the largest idle time that is ever trusted
+   * @param freshIdleMillis the idle time that is always trusted
    */
-  boolean trusts(double rested, boolean resendable) {
-    return rested <= (resendable || breaks < SEEN ? trusted : Math.min(young, trusted));
+  IdleConnectionTrust(double maxIdleMillis, double freshIdleMillis) {
+    this.maxIdleMillis = maxIdleMillis;
+    this.freshIdleMillis = freshIdleMillis;
+    trustedIdleMillis = maxIdleMillis;
   }
 
   /**
-   * A connection broke under a request as soon as it had been written, after resting for so long.
+   * Whether a connection with this idle time may carry a request. While resets on reuse occur, a
+   * request that must not be retried gets a fresh connection only.
    */
-  void recordReset(double rested) {
-    breaks += GAIN * (1 - breaks);
-    if (breaks > USUAL) {
-      trusted = Math.max(young, Math.min(trusted, rested / 2));
+  boolean trusts(double idleMillis, boolean retryable) {
+    double limitMillis =
+        retryable || resetShare < CAUTION_RESET_SHARE
+            ? trustedIdleMillis
+            : Math.min(freshIdleMillis, trustedIdleMillis);
+    return idleMillis <= limitMillis;
+  }
+
+  /** A connection was reset immediately after a request was written to it after this idle time. */
+  void recordReset(double idleMillis) {
+    resetShare += RESET_SHARE_GAIN * (1 - resetShare);
+    if (resetShare > SHRINK_RESET_SHARE) {
+      trustedIdleMillis = Math.max(freshIdleMillis, Math.min(trustedIdleMillis, idleMillis / 2));
     }
   }
 
-  /** A connection that had rested for so long brought an answer. */
-  void recordSuccess(double rested) {
-    if (rested > young) {
-      breaks -= GAIN * breaks;
+  /** A connection that was reused after this idle time delivered a response. */
+  void recordSuccess(double idleMillis) {
+    if (idleMillis > freshIdleMillis) {
+      resetShare -= RESET_SHARE_GAIN * resetShare;
     }
   }
 
-  /** A second has passed. */
+  /** To be called once a second: the trust recovers, and past resets count less. */
   void recover() {
-    trusted = Math.min(longest, trusted * RECOVERY);
-    breaks *= KEPT;
+    trustedIdleMillis = Math.min(maxIdleMillis, trustedIdleMillis * LIMIT_GROWTH_PER_SECOND);
+    resetShare *= RESET_SHARE_DECAY_PER_SECOND;
   }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/LoadReportParser.java
+++ b/src/main/java/loadbalancer/proxy/upstream/LoadReportParser.java
@@ -3,18 +3,21 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** An upstream's load report: {@code TEXT inflight=7, queue=2, util=0.61}. */
+/**
+ * Parses an endpoint's load report, such as {@code TEXT inflight=7, queue=2, util=0.61}. Stateless.
+ */
 public final class LoadReportParser {
 
-  private static final String PREFIX = "TEXT";
+  private static final String FORMAT_PREFIX = "TEXT";
 
-  /** Beyond it no figure of a load is meant. */
+  /** A larger value is a malformed one. */
   private static final double MAX_VALUE = 1e9;
 
   private LoadReportParser() {}
 
   /**
-   * The values of the given fields in their order; null unless the text holds them all, in range.
+   * Returns the values of the given fields, in their order and in the endpoint's own units; null
+   * unless the text holds every field with a value from 0 to 10^9.
    */
   public static double[] parse(String text, List<String> fields) {
     if (text == null || fields.isEmpty()) {
@@ -23,8 +26,8 @@
     double[] values = new double[fields.size()];
     Arrays.fill(values, Double.NaN);
     String pairs = text.strip();
-    if (pairs.startsWith(PREFIX)) {
-      pairs = pairs.substring(PREFIX.length());
+    if (pairs.startsWith(FORMAT_PREFIX)) {
+      pairs = pairs.substring(FORMAT_PREFIX.length());
     }
     for (String pair : pairs.split(",")) {
       int equals = pair.indexOf('=');
@@ -37,7 +40,7 @@
         }
       }
     }
-    // NaN compares false.
+    // A missing field is still NaN, which is out of range too.
     return Arrays.stream(values).allMatch(value -> value >= 0 && value <= MAX_VALUE)
         ? values
         : null;
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamResponseDecoder.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamResponseDecoder.java
@@ -9,31 +9,32 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Looks at the bytes ahead of the decoder. That keeps part of a line unseen, so bytes that no
- * request waits for could lie there and be taken for the start of the next answer.
+ * An HTTP response decoder that checks the bytes ahead of Netty's, which buffers an incomplete line
+ * unseen: bytes that no request awaits could be taken for the start of the next response. Confined
+ * to the event loop.
  */
 final class UpstreamResponseDecoder extends HttpResponseDecoder {
 
-  /** The connection that the bytes come on. */
+  /** The connection that the bytes arrive on. */
   interface Connection {
 
-    /** Whether a request waits for an answer there. */
-    boolean expectsAnswer();
+    /** Whether a request awaits a response. */
+    boolean awaitsResponse();
 
-    /** Bytes that may be part of an answer have come. */
-    void bytesCame();
+    /** Bytes that may be part of a response have arrived. */
+    void responseBytesReceived();
 
-    /** What came is no answer; the connection is of no more use. */
-    void spoilt();
+    /** The bytes are not a valid response; the connection must not be used again. */
+    void protocolViolation();
   }
 
-  /** How each answer begins. */
-  private static final byte[] BEGINNING = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
+  /** How each response begins. */
+  private static final byte[] VERSION_PREFIX = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
 
   private final Connection connection;
 
-  /** How much of the beginning of an answer has come. */
-  private int matched;
+  /** How many bytes of the version prefix have arrived. */
+  private int matchedBytes;
 
   UpstreamResponseDecoder(Connection connection) {
     this.connection = connection;
@@ -41,53 +42,54 @@
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-    if (!connection.expectsAnswer() || !begins((ByteBuf) message)) {
+    if (!connection.awaitsResponse() || !matchesVersionPrefix((ByteBuf) message)) {
       ReferenceCountUtil.release(message);
-      connection.spoilt();
+      connection.protocolViolation();
       return;
     }
-    connection.bytesCame();
+    connection.responseBytesReceived();
     super.channelRead(ctx, message);
   }
 
-  /** Whether this may be part of an answer: noise without a line's end would else wait for more. */
-  private boolean begins(ByteBuf bytes) {
-    int at = bytes.readerIndex();
-    while (matched < BEGINNING.length && at < bytes.writerIndex()) {
-      if (bytes.getByte(at++) != BEGINNING[matched++]) {
+  /** Guards against noise without a line end, for which the decoder would wait on. */
+  private boolean matchesVersionPrefix(ByteBuf bytes) {
+    int index = bytes.readerIndex();
+    while (matchedBytes < VERSION_PREFIX.length && index < bytes.writerIndex()) {
+      if (bytes.getByte(index++) != VERSION_PREFIX[matchedBytes++]) {
         return false;
       }
     }
     return true;
   }
 
-  /** The next bytes are the first of an answer. */
-  void expectBeginning() {
-    matched = 0;
+  /** The next bytes are the first of a response. */
+  void expectResponseStart() {
+    matchedBytes = 0;
   }
 
-  /** What has come already of the next message is not looked at again. */
-  void expectNoBeginning() {
-    matched = BEGINNING.length;
+  /** The start of the next response is already buffered and is not checked again. */
+  void expectResponseContinuation() {
+    matchedBytes = VERSION_PREFIX.length;
   }
 
-  /** Whether bytes have come that belong to no message so far. */
-  boolean holdsMore() {
+  /** Whether bytes are buffered that belong to no complete message. */
+  boolean hasBufferedBytes() {
     return actualReadableBytes() > 0;
   }
 
-  /** Netty would take a line of words without a colon for a header with no value. */
+  /** Guards against a header line without a colon, which Netty takes for a name with no value. */
   @Override
   protected AsciiString splitHeaderName(byte[] line, int start, int length) {
     if (line[start + length] != ':') {
-      throw new IllegalArgumentException("a header without a colon");
+      throw new IllegalArgumentException("a response header line has no colon");
     }
     return super.splitHeaderName(line, start, length);
   }
 
-  /** Netty would drop the length of a message that has both framings, and go on. */
+  /** Guards against a message with both framings, of which Netty would drop the length. */
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-    throw new IllegalArgumentException("both framings");
+    throw new IllegalArgumentException(
+        "a response has both Transfer-Encoding: chunked and Content-Length");
   }
 }
--- a/src/test/java/loadbalancer/proxy/ProxyFixture.java
+++ b/src/test/java/loadbalancer/proxy/ProxyFixture.java
@@ -88,7 +88,7 @@
           ProxyServer.prepare(ProxyConfig.read(file.toString()), module, firstUpdateTimeoutMillis);
       server.onLoop(
           (frontend, upstreams) -> {
-            upstreams.settleFor(settleMillis);
+            upstreams.useOptions(upstreams.options().withReuseDelayMillis(settleMillis));
             return null;
           });
       server.serve();
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamClientTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamClientTest.java
@@ -131,7 +131,7 @@
       stage.start();
       stage.server.onLoop(
           (frontend, upstreams) -> {
-            upstreams.sendBuffer(4_096);
+            upstreams.useOptions(upstreams.options().withSendBufferBytes(4_096));
             return null;
           });
       String body = "b".repeat(ProtocolHeaders.MAX_BODY_BYTES);
@@ -153,7 +153,7 @@
       stage.start();
       stage.server.onLoop(
           (frontend, upstreams) -> {
-            upstreams.sendBuffer(4_096);
+            upstreams.useOptions(upstreams.options().withSendBufferBytes(4_096));
             return null;
           });
       HttpPeer caller = stage.connectClient();
@@ -350,13 +350,13 @@
                     43 + i, false, ProxyFixture.endpointEntry(9, "127.0.0.1:9", states[i]))));
         assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(stage.policy.updates));
       }
-      int remembered =
+      int endpointCount =
           stage.server.onLoop(
               (frontend, upstreams) -> {
-                upstreams.sweep(stage.server.now() + 60_000);
-                return upstreams.remembered();
+                upstreams.pool().sweep(stage.server.now() + 60_000);
+                return upstreams.pool().endpointCount();
               });
-      assertEquals(0, remembered);
+      assertEquals(0, endpointCount);
     }
   }
 
@@ -561,7 +561,7 @@
       }
       stage.server.onLoop(
           (frontend, upstreams) -> {
-            upstreams.settleFor(0);
+            upstreams.useOptions(upstreams.options().withReuseDelayMillis(0));
             return null;
           });
       caller.write(ProxyFixture.idempotentRequest("r2", "10"));
@@ -593,7 +593,7 @@
       trustNoRest(stage);
       stage.server.onLoop(
           (frontend, upstreams) -> {
-            upstreams.brokeAtRest(400);
+            upstreams.pool().trust().recordReset(400);
             return null;
           });
       HttpPeer caller = stage.connectClient();
@@ -620,7 +620,7 @@
   private static void trustNoRest(ProxyFixture stage) throws InterruptedException {
     stage.server.onLoop(
         (frontend, upstreams) -> {
-          upstreams.trustYoung(0);
+          upstreams.useOptions(upstreams.options().withFreshIdleMillis(0));
           return null;
         });
   }
@@ -720,15 +720,15 @@
       // As after many that came up in no time; the first is dialled once more after 10 ms.
       stage.server.onLoop(
           (frontend, upstreams) -> {
-            upstreams.connectTime().set(0.1);
-            upstreams.settleFor(0);
+            upstreams.useOptions(
+                upstreams.options().withInitialConnectMillis(0.1).withReuseDelayMillis(0));
             return null;
           });
       tell(stage, ProxyFixture.endpointEntry(9, full.address(), "up"));
       HttpPeer caller = stage.connectClient();
       caller.write(ProxyFixture.idempotentRequest("1", "9"));
       // Both hang until the backlog has room.
-      while (stage.server.onLoop((frontend, upstreams) -> upstreams.dialling()) < 2) {
+      while (stage.server.onLoop((frontend, upstreams) -> upstreams.pendingConnections()) < 2) {
         Thread.onSpinWait();
       }
       List<HttpPeer> up = new CopyOnWriteArrayList<>();
@@ -745,7 +745,7 @@
       carries.write(ProxyFixture.okResponse("served"));
       assertEquals(200, caller.read().status());
       assertEquals(AttemptOutcome.OK, stage.policy.nextOutcome());
-      while (stage.server.onLoop((frontend, upstreams) -> upstreams.dialling()) > 0) {
+      while (stage.server.onLoop((frontend, upstreams) -> upstreams.pendingConnections()) > 0) {
         Thread.onSpinWait();
       }
       for (HttpPeer one : up) {
