--- a/src/main/java/loadbalancer/proxy/InFlightExchange.java
+++ b/src/main/java/loadbalancer/proxy/InFlightExchange.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.Future;
 import java.util.function.Consumer;
 import loadbalancer.proxy.frontend.RequestDispatcher;
-import loadbalancer.proxy.upstream.UpstreamClient;
+import loadbalancer.proxy.upstream.UpstreamAttempt;
 
 /**
  * The state of one request, from its arrival until it has its final response and none of its
@@ -23,7 +23,7 @@
   private final Consumer<InFlightExchange> onClientDisconnected;
 
   /** The attempts by their number; null for one that was not sent. */
-  private final List<UpstreamClient.Attempt> attempts = new ArrayList<>(2);
+  private final List<UpstreamAttempt> attempts = new ArrayList<>(2);
 
   /** The number of attempts begun; ahead of the list while an attempt is being sent. */
   private int attemptCount;
@@ -94,7 +94,7 @@
   }
 
   /** Keeps the attempt begun last; null if it was not sent. */
-  void addAttempt(UpstreamClient.Attempt attempt) {
+  void addAttempt(UpstreamAttempt attempt) {
     attempts.add(attempt);
   }
 
@@ -115,7 +115,7 @@
     attempts.forEach(InFlightExchange::cancel);
   }
 
-  private static void cancel(UpstreamClient.Attempt attempt) {
+  private static void cancel(UpstreamAttempt attempt) {
     if (attempt != null) {
       attempt.cancel();
     }
@@ -147,7 +147,7 @@
     }
     attempts.stream()
         .filter(Objects::nonNull)
-        .forEach(UpstreamClient.Attempt::abandonUnlessWritten);
+        .forEach(UpstreamAttempt::abandonUnlessWritten);
   }
 
   /** Whether nothing more can happen to the exchange. */
