--- a/src/main/java/loadbalancer/proxy/frontend/BadRequestException.java
+++ b/src/main/java/loadbalancer/proxy/frontend/BadRequestException.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** A request that its caller has got wrong, and how to say so. */
+/** A request that violates the protocol, with the status and the message of its error response. */
 final class BadRequestException extends Exception {
 
   private static final long serialVersionUID = 1;
--- a/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
@@ -6,128 +6,94 @@
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.socket.SocketChannel;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.DefaultFullHttpResponse;
-import io.netty.handler.codec.http.EmptyHttpHeaders;
 import io.netty.handler.codec.http.FullHttpRequest;
-import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
-import java.util.List;
-import java.util.concurrent.TimeUnit;
+import java.util.Optional;
 import loadbalancer.proxy.eventloop.DescriptorBudget;
 import loadbalancer.proxy.eventloop.EventLoopMonitor;
-import loadbalancer.proxy.frontend.RequestValidator.Template;
+import loadbalancer.proxy.frontend.RequestPipeline.PipelinedRequest;
 import loadbalancer.proxy.logging.ProxyLogger;
-import loadbalancer.proxy.protocol.ProtocolHeaders;
 
-/** One caller's connection: one request at a time, those sent ahead wait for their turn. */
+/**
+ * One client connection. One request at a time is in flight; pipelined ones wait for its response.
+ * Times are in milliseconds of the event loop's clock.
+ */
 final class ClientConnection extends ChannelInboundHandlerAdapter
     implements RequestDispatcher.Responder {
 
-  /** Requests that a connection may send ahead of their turn. */
-  private static final int MAX_AHEAD = 16;
+  private enum State {
+    /** Requests are answered. */
+    SERVING,
+    /** The last response is being written; nothing that arrives is answered any more. */
+    WRITING_LAST_RESPONSE,
+    /** The last response is written; the client has a while to close its side. */
+    LINGERING
+  }
 
-  /**
-   * How much is read between two pauses of what a caller sends that is no request, to see it leave.
-   */
-  private static final int MAX_FLAWED_BYTES = 4 * 1024 * 1024;
+  private static final String HEALTH_CHECK_PATH = "/_health";
 
-  /** More than a kernel holds unread for a connection. */
+  /** More than the kernel buffers for a connection. */
   private static final int MAX_UNREAD_BYTES = 16 * 1024 * 1024;
 
-  /**
-   * How long a caller that sends much that is no request is not read from: its leaving lies behind
-   * it.
-   */
-  private static final long PAUSE_MS = 40;
-
-  /**
-   * A new caller's first request, and the rest of one that has begun, must be there after so long.
-   */
-  private static final double REQUEST_MS = 2_300;
+  /** For a request that has begun to arrive to be complete. */
+  private static final double REQUEST_TIMEOUT_MILLIS = 2_300;
 
-  /** How long a connection may stay without a request, before its first one and between two. */
-  private static final double SILENT_MS = 2_300;
+  /** For the first byte of the first request. */
+  private static final double FIRST_REQUEST_TIMEOUT_MILLIS = 2_300;
 
-  private static final double IDLE_MS = 3_000;
+  /** For the first byte of a further request. */
+  private static final double KEEP_ALIVE_TIMEOUT_MILLIS = 3_000;
 
-  /**
-   * How long a caller that was answered for the last time may go on sending, and how much is read.
-   */
-  private static final long LINGER_MS = 500;
-
-  private static final int LINGER_BYTES = 1024 * 1024;
-
-  /** An answer that its caller has not let in by then is given up. */
-  private static final double WRITE_MS = 10_000;
-
-  /** A whole request and when it came: its time runs while it waits for its turn. */
-  private record Arrived(FullHttpRequest request, double at) {}
+  /** For the client to accept a response. */
+  private static final double WRITE_TIMEOUT_MILLIS = 10_000;
 
   private final Frontend frontend;
-  private final RequestDispatcher node;
+  private final RequestDispatcher dispatcher;
   private final EventLoopMonitor monitor;
   private final Channel channel;
-  private final Decoder decoder = new Decoder(this);
-  private final ArrayDeque<Arrived> ahead = new ArrayDeque<>();
-
-  /** The request that is coming in, and its body so far. */
-  private HttpRequest head;
-
-  private ByteBuf body;
-
-  /**
-   * What came that is no request: said once what came before it is answered, and nothing after it.
-   */
-  private BadRequestException flaw;
-
-  /** The request at work; the exchange is known once the node has it. */
-  private FullHttpRequest current;
+  private final ClientRequestDecoder decoder = new ClientRequestDecoder(this::onFirstByte);
+  private final RequestAssembler assembler;
+  private final RequestPipeline pipeline;
+  private final CurrentRequest currentRequest;
+  private final ResponseWriter responseWriter;
+  private final LingeringClose lingeringClose;
 
-  private RequestDispatcher.DispatchedRequest exchange;
-  private String txn;
+  /** The earliest time at which the connection may have been made. */
+  private final double earliestConnectAt;
 
-  /** When it may have come, and in which iteration of the loop it was let in. */
-  private final double earliestAccept;
+  /** The event loop's iteration that accepted the connection. */
+  private final long acceptIteration;
 
-  private final long acceptedIn;
+  private State state = State.SERVING;
 
-  /** When it came, had its last answer, or began the request that is coming in. */
-  private double since;
+  /** Answered after the requests that came before it; nothing that follows it is read. */
+  private BadRequestException protocolViolation;
 
-  private boolean served;
-  private boolean advancing;
-
-  /** Answers that are not yet written out. */
-  private int unsent;
-
-  private boolean closing;
-  private int drained;
-  private int flawed;
-
-  /** All bytes that came. */
-  private long received;
+  private boolean processing;
+  private boolean hasResponded;
+  private double lastActivityAt;
 
   ClientConnection(
-      Frontend frontend, RequestDispatcher node, EventLoopMonitor monitor, Channel channel) {
+      Frontend frontend, RequestDispatcher dispatcher, EventLoopMonitor monitor, Channel channel) {
     this.frontend = frontend;
-    this.node = node;
+    this.dispatcher = dispatcher;
     this.monitor = monitor;
     this.channel = channel;
-    earliestAccept = earliestArrival();
-    acceptedIn = monitor.iterationCount();
-    since = node.now();
+    assembler = new RequestAssembler(channel);
+    pipeline = new RequestPipeline(frontend.pipelineBudget());
+    currentRequest = new CurrentRequest(frontend, dispatcher, this);
+    responseWriter = new ResponseWriter(channel, this::onAllWritten);
+    lingeringClose = new LingeringClose(channel, decoder);
+    earliestConnectAt = earliestArrivalOfPendingEvents();
+    acceptIteration = monitor.iterationCount();
+    lastActivityAt = dispatcher.now();
   }
 
   ChannelHandler decoder() {
@@ -142,26 +108,30 @@
     channel.close();
   }
 
-  /** When it came, had its last answer, or began the request that is coming in. */
-  double since() {
-    return since;
+  /** When it was accepted, had its last response, or began the request that is arriving. */
+  double lastActivityAt() {
+    return lastActivityAt;
   }
 
-  boolean isIdle() {
-    return current == null
-        && ahead.isEmpty()
-        && flaw == null
-        && !decoder.amid
-        && unsent == 0
-        && !closing;
+  private boolean isIdle() {
+    return state == State.SERVING
+        && !currentRequest.isPresent()
+        && pipeline.isEmpty()
+        && protocolViolation == null
+        && !decoder.hasPartialRequest()
+        && !responseWriter.hasPendingWrites();
   }
 
-  /** Whether it has had its last answer. */
-  boolean lingers() {
-    return closing && unsent == 0;
+  boolean isLingering() {
+    return state == State.LINGERING;
   }
 
-  /** Closes it if it is idle: a request that lies unread in the kernel would be lost with it. */
+  /**
+   * Closes the connection if it is idle and the kernel holds no unread request, which would be
+   * lost.
+   *
+   * @return whether the connection is closed
+   */
   boolean closeIfIdle() {
     if (isIdle()) {
       DescriptorBudget.readNow(channel);
@@ -172,60 +142,66 @@
     return !channel.isOpen();
   }
 
-  /** Reads what has come, and leaves nothing open but what is at work or has its answer. */
-  void end() {
+  /** Stops reading requests: only those in flight and pending responses keep it open. */
+  void beginForcedShutdown() {
     DescriptorBudget.readNow(channel);
-    if (decoder.amid && flaw == null && !closing) {
-      spoil(new BadRequestException(HttpResponseStatus.REQUEST_TIMEOUT, "too late"));
-      advance();
+    if (decoder.hasPartialRequest() && protocolViolation == null && state == State.SERVING) {
+      rejectPartialRequest("too late");
     }
     closeIfIdle();
   }
 
+  private void rejectPartialRequest(String message) {
+    onProtocolViolation(new BadRequestException(HttpResponseStatus.REQUEST_TIMEOUT, message));
+    processNext();
+  }
+
   /**
-   * Reads on until the kernel holds no more: whoever left did so behind all that it sent. One that
-   * sends without end is there. A request that is just being begun was looked after before.
+   * Reads until the kernel holds no more, as the end of the stream lies behind all that the client
+   * has sent. A client that sends without end counts as connected. While a request is being
+   * dispatched, the check before it still holds.
    */
   @Override
   public boolean isConnected() {
-    if (current != null && exchange == null) {
+    if (currentRequest.isBeingDispatched()) {
       return channel.isOpen();
     }
-    long first = received;
+    long first = decoder.receivedBytes();
     long before = -1;
-    while (channel.isOpen() && received > before && received - first < MAX_UNREAD_BYTES) {
-      before = received;
+    while (channel.isOpen()
+        && decoder.receivedBytes() > before
+        && decoder.receivedBytes() - first < MAX_UNREAD_BYTES) {
+      before = decoder.receivedBytes();
       DescriptorBudget.readNow(channel);
     }
     return channel.isOpen();
   }
 
-  void sweep(double now) {
-    double age = now - since;
-    if (closing || unsent > 0) {
-      if (age > WRITE_MS) {
+  /** Enforces the timeouts. */
+  void checkTimeouts(double now) {
+    double age = now - lastActivityAt;
+    if (state != State.SERVING || responseWriter.hasPendingWrites()) {
+      if (age > WRITE_TIMEOUT_MILLIS) {
         channel.close();
       }
-    } else if (decoder.amid) {
-      if (current == null && age > REQUEST_MS) {
-        spoil(new BadRequestException(HttpResponseStatus.REQUEST_TIMEOUT, "too slow"));
-        advance();
+    } else if (decoder.hasPartialRequest()) {
+      if (!currentRequest.isPresent() && age > REQUEST_TIMEOUT_MILLIS) {
+        rejectPartialRequest("too slow");
       }
-    } else if (age > (served ? IDLE_MS : SILENT_MS)) {
+    } else if (age > (hasResponded ? KEEP_ALIVE_TIMEOUT_MILLIS : FIRST_REQUEST_TIMEOUT_MILLIS)) {
       closeIfIdle();
     }
   }
 
-  /** The first byte of a message has come. */
-  void begins() {
-    if (served && current == null) {
-      since = node.now();
+  private void onFirstByte() {
+    if (hasResponded && !currentRequest.isPresent()) {
+      lastActivityAt = dispatcher.now();
     }
   }
 
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
-    frontend.opened(this, channel);
+    frontend.onAccepted(this, channel);
     ctx.fireChannelActive();
   }
 
@@ -233,336 +209,183 @@
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     try {
       if (message instanceof ByteBuf bytes) {
-        drained += bytes.readableBytes();
-        if (drained > LINGER_BYTES) {
-          // Whoever sends without end must not keep the loop busy.
-          channel.config().setAutoRead(false);
-        }
-      } else if (!closing && flaw == null) {
-        take(message);
+        lingeringClose.discard(bytes);
+      } else if (state == State.SERVING && protocolViolation == null) {
+        assemble(message);
       }
     } catch (BadRequestException e) {
-      spoil(e);
+      onProtocolViolation(e);
     } finally {
       ReferenceCountUtil.release(message);
     }
   }
 
-  private void take(Object message) throws BadRequestException {
-    if (message instanceof HttpRequest begun) {
-      RequestValidator.head(begun);
-      head = begun;
-      body = Unpooled.EMPTY_BUFFER;
-      // One that waits behind another will send its body without being asked.
-      if (HttpUtil.is100ContinueExpected(begun) && current == null && ahead.isEmpty()) {
-        channel.writeAndFlush(
-            new DefaultFullHttpResponse(
-                HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+  private void assemble(Object message) throws BadRequestException {
+    if (message instanceof HttpRequest head) {
+      assembler.begin(head);
+      // A client that pipelines sends the body without waiting to be asked for it.
+      if (HttpUtil.is100ContinueExpected(head)
+          && !currentRequest.isPresent()
+          && pipeline.isEmpty()) {
+        responseWriter.writeContinue();
       }
     }
-    if (message instanceof HttpContent content && head != null) {
-      if (!content.decoderResult().isSuccess()) {
-        throw new BadRequestException("malformed HTTP");
-      }
-      append(content.content());
-      if (content instanceof LastHttpContent) {
-        complete();
+    if (message instanceof HttpContent content) {
+      Optional<FullHttpRequest> complete = assembler.append(content);
+      if (complete.isPresent()) {
+        enqueue(complete.get());
       }
     }
   }
 
-  private void append(ByteBuf part) throws BadRequestException {
-    if (body.readableBytes() + part.readableBytes() > ProtocolHeaders.MAX_BODY_BYTES) {
-      throw RequestValidator.tooLarge();
-    }
-    if (part.isReadable()) {
-      if (body.maxCapacity() == 0) {
-        body = channel.alloc().buffer(part.readableBytes(), ProtocolHeaders.MAX_BODY_BYTES);
-      }
-      body.writeBytes(part);
-    }
-  }
-
-  private void complete() throws BadRequestException {
-    frontend.holdAhead(body.readableBytes());
-    ahead.addLast(
-        new Arrived(
-            new DefaultFullHttpRequest(
-                head.protocolVersion(),
-                head.method(),
-                head.uri(),
-                body,
-                head.headers(),
-                EmptyHttpHeaders.INSTANCE),
-            arrival()));
-    head = null;
-    body = null;
-    if (ahead.size() > MAX_AHEAD || (current != null && frontend.isFullAhead())) {
-      // None of them is answered, the one at work neither: it could take its whole time.
-      dropAhead();
-      abandon();
+  private void enqueue(FullHttpRequest request) throws BadRequestException {
+    pipeline.add(request, earliestArrivalOfReadBytes());
+    if (pipeline.isOverLimit(currentRequest.isPresent())) {
+      // The request in flight is dropped too: it could delay the error until its deadline.
+      pipeline.clear();
+      currentRequest.abandon();
       throw new BadRequestException("too many requests sent ahead");
     }
   }
 
   /**
-   * When the bytes that are read now may have come, at the earliest: a request's time runs from
-   * there, and on a busy loop it may have been waiting for long. What is read as soon as a
-   * connection can be may have come with the connection.
+   * The earliest time at which the bytes that are read now may have arrived, from which a request's
+   * deadline runs. Bytes that are read right after the accept may have come with the connection.
    */
-  private double arrival() {
-    boolean atOnce = monitor.iterationCount() - acceptedIn <= 1;
-    return atOnce ? earliestAccept : earliestArrival();
+  private double earliestArrivalOfReadBytes() {
+    boolean justAccepted = monitor.iterationCount() - acceptIteration <= 1;
+    return justAccepted ? earliestConnectAt : earliestArrivalOfPendingEvents();
   }
 
-  private double earliestArrival() {
-    return node.now() - monitor.longestWaitMillis();
+  private double earliestArrivalOfPendingEvents() {
+    return dispatcher.now() - monitor.longestWaitMillis();
   }
 
-  /** Begins what came only now: of a crowd sent at once, none is to be served. */
+  /** Begins requests only now, so that none is forwarded if there are too many of them. */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    advance();
+    processNext();
     ctx.fireChannelReadComplete();
   }
 
-  private void spoil(BadRequestException why) {
-    flaw = why;
-    dropPart();
+  private void onProtocolViolation(BadRequestException violation) {
+    protocolViolation = violation;
+    decoder.discardInput();
+    assembler.reset();
   }
 
-  /**
-   * Whether what comes is looked at no more. It is read all the same while a request is at work, as
-   * nothing else tells that its client has left, but no faster than keeps the loop free for others.
-   */
-  boolean drops(int bytes) {
-    if (flaw != null) {
-      flawed += bytes;
-      if (flawed > MAX_FLAWED_BYTES) {
-        flawed = 0;
-        channel.config().setAutoRead(false);
-        channel
-            .eventLoop()
-            .schedule(() -> channel.config().setAutoRead(true), PAUSE_MS, TimeUnit.MILLISECONDS);
-      }
-    }
-    return flaw != null;
-  }
-
-  /** Goes on to what is next, as long as nothing is at work. */
-  private void advance() {
-    if (advancing) {
+  /** Processes requests until one is in flight or none is left. */
+  private void processNext() {
+    if (processing) {
       return;
     }
-    advancing = true;
+    processing = true;
     try {
-      while (current == null && !closing && (flaw != null || !ahead.isEmpty())) {
-        // The client may have left while this waited for its turn, or to be let in at all.
+      while (hasNext()) {
+        // The client may have disconnected while its request waited.
         if (!isConnected()) {
           return;
         }
-        Arrived next = ahead.pollFirst();
+        PipelinedRequest next = pipeline.poll();
         if (next == null) {
-          reject(flaw);
+          reject(protocolViolation);
         } else {
-          frontend.holdAhead(-next.request.content().readableBytes());
-          handle(next.request, next.at);
+          process(next.request(), next.arrivedAtMillis());
         }
       }
     } finally {
-      advancing = false;
+      processing = false;
     }
   }
 
-  private void handle(FullHttpRequest request, double arrivedAt) {
-    current = request;
-    if (request.uri().equals("/_health") && request.method().equals(HttpMethod.GET)) {
+  private boolean hasNext() {
+    return state == State.SERVING
+        && !currentRequest.isPresent()
+        && (protocolViolation != null || !pipeline.isEmpty());
+  }
+
+  private void process(FullHttpRequest request, double arrivedAt) {
+    currentRequest.begin(request);
+    if (request.uri().equals(HEALTH_CHECK_PATH) && request.method().equals(HttpMethod.GET)) {
       write(HttpResponseStatus.OK, Unpooled.EMPTY_BUFFER, 0);
       return;
     }
-    if (frontend.isEnding()) {
+    if (frontend.isForcedShutdown()) {
       write(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER, 0);
       return;
     }
     try {
-      Template template = frontend.check(request, arrivedAt);
-      ClientConnection first = frontend.atWork(template.txn());
-      if (first != null) {
-        // Its client may have left, and sent the request again here.
-        if (!first.isConnected()) {
-          // Its end is told later on, too late for the one that is here now.
-          first.abandon();
-        }
-      }
-      if (frontend.atWork(template.txn()) != null) {
-        throw new BadRequestException(
-            HttpResponseStatus.CONFLICT, ProtocolHeaders.REQUEST_ID + " is at work");
-      }
-      txn = template.txn();
-      frontend.startWork(txn, this);
-      RequestDispatcher.DispatchedRequest begun =
-          node.dispatch(template::withId, request.retain(), this);
-      // The answer may have come already, and with it the next request.
-      if (begun.isOpen()) {
-        exchange = begun;
-      }
+      currentRequest.dispatch(arrivedAt);
     } catch (BadRequestException e) {
       reject(e);
     }
   }
 
-  /** An error is the last answer: what else comes from there may be no better. */
-  private void reject(BadRequestException why) {
-    closing = true;
-    dropAhead();
-    write(why.status(), Unpooled.copiedBuffer(why.getMessage() + "\n", StandardCharsets.UTF_8), 0);
+  /** Answers a protocol violation and closes, as the rest of the input can't be trusted. */
+  private void reject(BadRequestException violation) {
+    state = State.WRITING_LAST_RESPONSE;
+    pipeline.clear();
+    ByteBuf body = Unpooled.copiedBuffer(violation.getMessage() + "\n", StandardCharsets.UTF_8);
+    write(violation.status(), body, 0);
   }
 
   @Override
-  public void respond(HttpResponseStatus status, ByteBuf content, double retryAfter) {
-    write(status, content.retain(), retryAfter);
-  }
-
-  /** Writes an answer and goes on to the next request; takes the content over. */
-  private void write(HttpResponseStatus status, ByteBuf content, double retryAfter) {
-    FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
-    response.headers().set("Content-Length", content.readableBytes());
-    if (retryAfter > 0) {
-      response.headers().set("Retry-After", ProtocolHeaders.formatSeconds(Math.ceil(retryAfter)));
-    }
-    boolean wantsMore = current != null && HttpUtil.isKeepAlive(current);
-    // What has come whole already was taken, and is still answered here.
-    closing |= !wantsMore || (frontend.isDraining() && ahead.isEmpty() && !decoder.amid);
-    if (closing) {
-      response.headers().set("Connection", "close");
-    }
-    finish();
-    served = true;
-    since = node.now();
-    frontend.answered(this);
-    unsent++;
-    channel
-        .writeAndFlush(response)
-        .addListener(
-            written -> {
-              unsent--;
-              if (closing && unsent == 0) {
-                linger();
-              }
-            });
-    if (closing) {
-      dropAhead();
+  public void respond(HttpResponseStatus status, ByteBuf body, double retryAfter) {
+    write(status, body.retain(), retryAfter);
+  }
+
+  /** Writes a response, whose body it takes over, and goes on to the next request. */
+  private void write(HttpResponseStatus status, ByteBuf body, double retryAfterMillis) {
+    if (isLastResponse()) {
+      state = State.WRITING_LAST_RESPONSE;
+    }
+    currentRequest.finish();
+    hasResponded = true;
+    lastActivityAt = dispatcher.now();
+    frontend.onResponse(this);
+    responseWriter.write(status, body, retryAfterMillis, state != State.SERVING);
+    if (state == State.SERVING) {
+      processNext();
     } else {
-      advance();
+      pipeline.clear();
     }
-    // A caller that rests now may give way to one that waits to be let in.
-    frontend.resume();
+    // Now idle, this connection may be evicted for a client that waits to be accepted.
+    frontend.resumeAccepting();
   }
 
-  /** Nothing is at work any more. */
-  private void finish() {
-    if (txn != null) {
-      frontend.finishWork(txn);
-      txn = null;
-    }
-    if (current != null) {
-      current.release();
-      current = null;
-    }
-    exchange = null;
+  private boolean isLastResponse() {
+    // Requests that have arrived before a graceful shutdown are still answered.
+    boolean drained =
+        frontend.isShuttingDown() && pipeline.isEmpty() && !decoder.hasPartialRequest();
+    return state != State.SERVING || !currentRequest.wantsKeepAlive() || drained;
   }
 
-  private void abandon() {
-    RequestDispatcher.DispatchedRequest left = exchange;
-    finish();
-    if (left != null) {
-      left.clientDisconnected();
+  private void onAllWritten() {
+    if (state != State.SERVING) {
+      state = State.LINGERING;
+      lingeringClose.begin();
     }
   }
 
-  private void dropPart() {
-    if (body != null) {
-      body.release();
-    }
-    body = null;
-    head = null;
-  }
-
-  private void dropAhead() {
-    for (Arrived one : ahead) {
-      frontend.holdAhead(-one.request.content().readableBytes());
-      one.request.release();
-    }
-    ahead.clear();
-  }
-
-  /**
-   * Ends the sending, and closes once the caller has done so too or has had its time: to close on
-   * bytes that are still coming in would reset the connection and could take the answer with it.
-   */
-  private void linger() {
-    if (!channel.isActive()) {
-      return;
-    }
-    ((SocketChannel) channel).shutdownOutput();
-    if (channel.pipeline().context(decoder) != null) {
-      // What still comes is not looked at.
-      channel.pipeline().remove(decoder);
-      channel.config().setAutoRead(true);
-      channel.eventLoop().schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
-    }
+  /** Gives up the request in flight, as its client has disconnected. */
+  void abandonCurrentRequest() {
+    currentRequest.abandon();
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    frontend.closed(this);
-    dropAhead();
-    dropPart();
-    abandon();
+    frontend.onClosed(this);
+    pipeline.clear();
+    assembler.reset();
+    currentRequest.abandon();
     ctx.fireChannelInactive();
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      ProxyLogger.LOGGER.warning("a caller's connection failed: " + cause);
+      ProxyLogger.LOGGER.warning("client connection failed: " + cause);
     }
     ctx.close();
   }
-
-  /** Knows, beside its work, whether a request has come in part. */
-  private static final class Decoder extends RequestValidator.Decoder {
-
-    private final ClientConnection connection;
-
-    /** Whether bytes have come since the last whole request. */
-    private boolean amid;
-
-    Decoder(ClientConnection connection) {
-      this.connection = connection;
-    }
-
-    @Override
-    public void channelRead(ChannelHandlerContext ctx, Object bytes) throws Exception {
-      connection.received += ((ByteBuf) bytes).readableBytes();
-      if (connection.drops(((ByteBuf) bytes).readableBytes())) {
-        ReferenceCountUtil.release(bytes);
-        return;
-      }
-      if (!amid) {
-        amid = true;
-        connection.begins();
-      }
-      super.channelRead(ctx, bytes);
-    }
-
-    @Override
-    protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
-        throws Exception {
-      super.decode(ctx, in, out);
-      if (!out.isEmpty() && out.get(out.size() - 1) instanceof LastHttpContent) {
-        amid = in.isReadable();
-      }
-    }
-  }
 }
--- a/src/main/java/loadbalancer/proxy/frontend/Frontend.java
+++ b/src/main/java/loadbalancer/proxy/frontend/Frontend.java
@@ -22,105 +22,114 @@
 import loadbalancer.proxy.config.ProxyConfig;
 import loadbalancer.proxy.eventloop.DescriptorBudget;
 import loadbalancer.proxy.eventloop.EventLoopMonitor;
-import loadbalancer.proxy.frontend.RequestValidator.Template;
 import loadbalancer.proxy.logging.ProxyLogger;
 
 /**
- * Takes callers' requests and writes each one's answer. A caller that sends what is of no use, or
- * nothing, has an error or the end of its connection soon, and can't hold memory or descriptors for
- * longer.
+ * Accepts client connections, enforces their timeouts and closes them at shutdown. A client that
+ * violates the protocol, or sends nothing, can't hold memory or descriptors for long. All methods
+ * but {@link #bind} and {@link #address} are called on the event loop.
  */
 public final class Frontend {
 
-  private static final int BACKLOG = 1_024;
-
-  /** The bytes that the requests sent ahead of their turn may hold, over all connections. */
-  private static final int MAX_AHEAD_BYTES = 8 * 1024 * 1024;
+  private enum ShutdownPhase {
+    /** Clients are served. */
+    NONE,
+    /** Requests are served; each response may be the last one of its connection. */
+    GRACEFUL,
+    /** Requests in flight are served; all others are rejected. */
+    FORCED
+  }
 
-  private static final long SWEEP_MS = 200;
+  private static final int ACCEPT_BACKLOG = 1_024;
+  private static final long TIMEOUT_CHECK_INTERVAL_MILLIS = 200;
 
   private final EventLoop loop;
   private final ProxyConfig config;
-  private final DescriptorBudget sockets;
-  private final ByteBufAllocator memory;
-  private final RequestDispatcher node;
+  private final DescriptorBudget descriptors;
+  private final ByteBufAllocator allocator;
+  private final RequestDispatcher dispatcher;
   private final EventLoopMonitor monitor;
-  private final RequestValidator check;
+  private final RequestValidator validator;
+  private final PipelineBudget pipelineBudget = new PipelineBudget();
 
-  /** Every caller's connection, in the order in which they came or last became idle. */
+  /** Open connections; the one whose accept or last response is the longest ago comes first. */
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-  /** Who waits for the answer to a request, by its X-Txn. */
-  private final Map<String, ClientConnection> open = new HashMap<>();
-
-  private Channel listening;
-  private boolean draining;
-  private boolean ending;
+  /** The connections that wait for a response, by request ID. */
+  private final Map<String, ClientConnection> connectionsByRequestId = new HashMap<>();
 
-  /** Bytes of the requests that wait behind others, over all connections. */
-  private int aheadBytes;
+  private Channel serverChannel;
+  private ShutdownPhase shutdownPhase = ShutdownPhase.NONE;
 
+  /**
+   * Creates a frontend that does not listen yet.
+   *
+   * @param loop the event loop of all connections
+   * @param descriptors limits the connections that are accepted
+   * @param dispatcher receives the requests
+   * @param monitor watches {@code loop}
+   */
   public Frontend(
       EventLoop loop,
       ProxyConfig config,
-      DescriptorBudget sockets,
-      ByteBufAllocator memory,
-      RequestDispatcher node,
+      DescriptorBudget descriptors,
+      ByteBufAllocator allocator,
+      RequestDispatcher dispatcher,
       EventLoopMonitor monitor) {
     this.loop = loop;
     this.config = config;
-    this.sockets = sockets;
-    this.memory = memory;
-    this.node = node;
+    this.descriptors = descriptors;
+    this.allocator = allocator;
+    this.dispatcher = dispatcher;
     this.monitor = monitor;
-    check = new RequestValidator(config);
-    sockets.onEvictClient(this::evictIdle);
+    validator = new RequestValidator(config);
+    descriptors.onEvictClient(this::evictIdle);
   }
 
+  /**
+   * Listens on the configured address and begins to accept clients.
+   *
+   * @throws ConfigurationException if the address can't be bound
+   */
   public void bind() throws ConfigurationException, InterruptedException {
     ServerBootstrap server =
         new ServerBootstrap()
             .group(loop)
             .channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
+            .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
             .option(ChannelOption.SO_REUSEADDR, true)
-            .handler(new Acceptor())
-            .childOption(ChannelOption.ALLOCATOR, memory)
+            .handler(new AcceptFailureHandler())
+            .childOption(ChannelOption.ALLOCATOR, allocator)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(
-                new ChannelInitializer<Channel>() {
-                  @Override
-                  protected void initChannel(Channel channel) {
-                    // Known before anybody who was let in can leave again.
-                    listening = channel.parent();
-                    ClientConnection connection =
-                        new ClientConnection(Frontend.this, node, monitor, channel);
-                    channel
-                        .pipeline()
-                        .addLast(connection.decoder(), new HttpResponseEncoder(), connection);
-                  }
-                });
+            .childHandler(new ConnectionInitializer());
     var bound = server.bind(config.listen()).await();
     if (!bound.isSuccess()) {
       throw new ConfigurationException(
           "cannot listen on " + config.listen() + ": " + bound.cause().getMessage());
     }
-    listening = bound.channel();
-    loop.scheduleAtFixedRate(() -> sweep(node.now()), SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+    serverChannel = bound.channel();
+    loop.scheduleAtFixedRate(
+        () -> checkTimeouts(dispatcher.now()),
+        TIMEOUT_CHECK_INTERVAL_MILLIS,
+        TIMEOUT_CHECK_INTERVAL_MILLIS,
+        TimeUnit.MILLISECONDS);
   }
 
+  /** The address that the frontend listens on. */
   public InetSocketAddress address() {
-    return (InetSocketAddress) listening.localAddress();
+    return (InetSocketAddress) serverChannel.localAddress();
   }
 
-  /** From now on every answer asks its caller to leave. */
+  /** From now on responses ask clients to close their connections. */
   public void beginGracefulShutdown() {
-    draining = true;
+    if (shutdownPhase == ShutdownPhase.NONE) {
+      shutdownPhase = ShutdownPhase.GRACEFUL;
+    }
   }
 
-  /** Closes what is idle and tells whether nothing is left, so that the process may end. */
+  /** Closes idle connections and returns whether none is left, so that the process may end. */
   public boolean closeIdleConnections() {
-    letIn();
+    acceptPending();
     for (ClientConnection connection : new ArrayList<>(connections)) {
       connection.closeIfIdle();
     }
@@ -128,57 +137,53 @@
   }
 
   /**
-   * From now on nothing more is begun: whoever is idle or has sent half a request goes, and what
-   * waits for its turn, or comes now, is refused once the request at work has its answer.
+   * From now on no request is forwarded. Idle connections are closed, partial requests rejected;
+   * pipelined and later requests are rejected once the request in flight has its response.
    */
   public void forceShutdown() {
-    draining = true;
-    ending = true;
-    letIn();
+    shutdownPhase = ShutdownPhase.FORCED;
+    acceptPending();
     for (ClientConnection connection : new ArrayList<>(connections)) {
-      connection.end();
+      connection.beginForcedShutdown();
     }
   }
 
-  /** Lets in all that wait for it. */
-  private void letIn() {
+  /** Accepts all clients in the backlog. */
+  private void acceptPending() {
     int before = -1;
-    // Several are let in at a time. SIGTERM may come before anybody could be.
-    while (listening != null && before < connections.size()) {
+    // One read accepts several clients. SIGTERM may arrive before the address is bound.
+    while (serverChannel != null && before < connections.size()) {
       before = connections.size();
-      DescriptorBudget.readNow(listening);
+      DescriptorBudget.readNow(serverChannel);
     }
   }
 
-  /** Ends what has taken too long by the given time. */
-  void sweep(double now) {
+  /** Enforces the connections' timeouts at the given time. */
+  void checkTimeouts(double now) {
     for (ClientConnection connection : new ArrayList<>(connections)) {
-      connection.sweep(now);
+      connection.checkTimeouts(now);
     }
-    resume();
+    resumeAccepting();
   }
 
   /**
-   * Lets callers in again if there is room. To do so at each close, room or not, would let in more
-   * than leave and use up the descriptors, without which the virtual machine can't even load a
-   * class.
+   * Accepts clients again if there are descriptors for them. To accept one for each that leaves,
+   * descriptors or not, could use up the process's descriptors, without which the virtual machine
+   * can't even load a class.
    */
-  void resume() {
-    if (!listening.config().isAutoRead() && sockets.canAcceptClient(node.now())) {
-      listening.config().setAutoRead(true);
+  void resumeAccepting() {
+    if (!serverChannel.config().isAutoRead() && descriptors.canAcceptClient(dispatcher.now())) {
+      serverChannel.config().setAutoRead(true);
     }
   }
 
-  /**
-   * Closes a caller's connection that nothing is at work on since before the given time, the
-   * longest such first, as it may between requests.
-   */
+  /** Closes the connection that has been idle or lingering for longest, since before a time. */
   private boolean evictIdle(double before) {
     for (ClientConnection connection : new ArrayList<>(connections)) {
-      // One that is closed stays here until its end is told: to count it again would make no room.
+      // A closed connection stays listed until its event; to count it again would free nothing.
       if (connection.isOpen()
-          && connection.since() < before
-          && (connection.lingers() || connection.closeIfIdle())) {
+          && connection.lastActivityAt() < before
+          && (connection.isLingering() || connection.closeIfIdle())) {
         connection.close();
         return true;
       }
@@ -186,74 +191,76 @@
     return false;
   }
 
-  /**
-   * Hears of a caller that could not be let in, and waits for the next sweep before it tries again.
-   */
-  private static final class Acceptor extends ChannelInboundHandlerAdapter {
+  /** Sets up an accepted connection. */
+  private final class ConnectionInitializer extends ChannelInitializer<Channel> {
+
+    @Override
+    protected void initChannel(Channel channel) {
+      // Needed before the first accepted client can disconnect, which may be before bind returns.
+      serverChannel = channel.parent();
+      ClientConnection connection =
+          new ClientConnection(Frontend.this, dispatcher, monitor, channel);
+      channel.pipeline().addLast(connection.decoder(), new HttpResponseEncoder(), connection);
+    }
+  }
+
+  /** Stops accepting after a failed accept until {@link #resumeAccepting}. */
+  private static final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       ctx.channel().config().setAutoRead(false);
-      ProxyLogger.LOGGER.warning("a caller could not be let in: " + cause);
+      ProxyLogger.LOGGER.warning("could not accept a client: " + cause);
     }
   }
 
-  // ---- What its connections tell and ask
-  // -----------------------------------------------------------
-
-  /** A caller was let in. */
-  void opened(ClientConnection connection, Channel channel) {
-    sockets.track(channel);
+  void onAccepted(ClientConnection connection, Channel channel) {
+    descriptors.track(channel);
     connections.add(connection);
-    if (!sockets.canAcceptClient(connection.since())) {
-      // Failing to accept for want of a descriptor would stop Netty from trying for a second.
-      listening.config().setAutoRead(false);
+    if (!descriptors.canAcceptClient(connection.lastActivityAt())) {
+      // Netty stops accepting for a second after it has failed for want of a descriptor.
+      serverChannel.config().setAutoRead(false);
     }
   }
 
-  /** A connection had an answer: the longest idle come first. */
-  void answered(ClientConnection connection) {
+  /** Moves the connection behind all others in the order of eviction. */
+  void onResponse(ClientConnection connection) {
     connections.remove(connection);
     connections.add(connection);
   }
 
-  void closed(ClientConnection connection) {
+  void onClosed(ClientConnection connection) {
     connections.remove(connection);
-    resume();
-  }
-
-  boolean isDraining() {
-    return draining;
+    resumeAccepting();
   }
 
-  boolean isEnding() {
-    return ending;
+  boolean isShuttingDown() {
+    return shutdownPhase != ShutdownPhase.NONE;
   }
 
-  /** Counts bytes of a request that has to wait for its turn; negative once it waits no more. */
-  void holdAhead(int bytes) {
-    aheadBytes += bytes;
+  boolean isForcedShutdown() {
+    return shutdownPhase == ShutdownPhase.FORCED;
   }
 
-  boolean isFullAhead() {
-    return aheadBytes > MAX_AHEAD_BYTES;
+  PipelineBudget pipelineBudget() {
+    return pipelineBudget;
   }
 
-  /** Reads a whole request that came at a time. */
-  Template check(FullHttpRequest request, double arrivedAt) throws BadRequestException {
-    return check.read(request, arrivedAt, monitor.recentLatenessMillis());
+  /** Validates a request that arrived at the given time. */
+  ValidatedRequest validate(FullHttpRequest request, double arrivedAt) throws BadRequestException {
+    return validator.read(request, arrivedAt, monitor.recentLatenessMillis());
   }
 
-  /** Who waits for the answer to the request of that X-Txn, or null. */
-  ClientConnection atWork(String txn) {
-    return open.get(txn);
+  /** Returns the connection that waits for the response to a request, or null. */
+  ClientConnection connectionWaitingFor(String requestId) {
+    return connectionsByRequestId.get(requestId);
   }
 
-  void startWork(String txn, ClientConnection connection) {
-    open.put(txn, connection);
+  void onRequestStarted(String requestId, ClientConnection connection) {
+    connectionsByRequestId.put(requestId, connection);
   }
 
-  void finishWork(String txn) {
-    open.remove(txn);
+  void onRequestFinished(String requestId) {
+    connectionsByRequestId.remove(requestId);
   }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/frontend/PipelineBudget.java
@@ -0,0 +1,21 @@
+package loadbalancer.proxy.frontend;
+
+/** Limits the memory of pipelined requests over all client connections. */
+final class PipelineBudget {
+
+  private static final int MAX_PIPELINED_BYTES = 8 * 1024 * 1024;
+
+  private int pipelinedBytes;
+
+  void reserve(int bytes) {
+    pipelinedBytes += bytes;
+  }
+
+  void release(int bytes) {
+    pipelinedBytes -= bytes;
+  }
+
+  boolean isExceeded() {
+    return pipelinedBytes > MAX_PIPELINED_BYTES;
+  }
+}
--- a/src/test/java/loadbalancer/proxy/frontend/FrontendTest.java
+++ b/src/test/java/loadbalancer/proxy/frontend/FrontendTest.java
@@ -148,7 +148,7 @@
   private static void later(ProxyFixture stage, double millis) throws Exception {
     stage.server.onLoop(
         (frontend, upstreams) -> {
-          frontend.sweep(stage.server.now() + millis);
+          frontend.checkTimeouts(stage.server.now() + millis);
           return null;
         });
   }
