--- a/src/main/java/loadbalancer/proxy/InFlightExchange.java
+++ b/src/main/java/loadbalancer/proxy/InFlightExchange.java
@@ -145,9 +145,7 @@
     if (overdueTimer != null) {
       overdueTimer.cancel(false);
     }
-    attempts.stream()
-        .filter(Objects::nonNull)
-        .forEach(UpstreamAttempt::abandonUnlessWritten);
+    attempts.stream().filter(Objects::nonNull).forEach(UpstreamAttempt::abandonUnlessWritten);
   }
 
   /** Whether nothing more can happen to the exchange. */
