--- a/src/test/java/loadbalancer/policy/EmbeddingExampleTest.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingExampleTest.java
@@ -39,10 +39,10 @@
 
   @Test
   void theExampleSendsItsRequest() {
-    PolicyHarness bench = new PolicyHarness(TestSettings.plain().build(), 1);
-    host(bench, TestSettings.plain().build(), 100_000);
-    assertEquals(7, bench.lastSend().request());
-    assertEquals(1, bench.lastSend().upstream());
+    PolicyHarness harness = new PolicyHarness(TestSettings.settings().build(), 1);
+    host(harness, TestSettings.settings().build(), 100_000);
+    assertEquals(7, harness.lastAttempt().requestId());
+    assertEquals(1, harness.lastAttempt().endpointId());
   }
 
   @Test
--- a/src/test/java/loadbalancer/policy/LoadSheddingTest.java
+++ b/src/test/java/loadbalancer/policy/LoadSheddingTest.java
@@ -16,40 +16,40 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What is refused where calls are late, with and without a crowd to blame: whole runs in virtual
- * time, of several copies in front of a few servers.
+ * Load shedding over whole runs in virtual time, with several instances and a few endpoints:
+ * attempts that are late with and without overload.
  */
 class LoadSheddingTest {
 
-  private static final double LENGTH = 40_000;
+  private static final double LENGTH_MILLIS = 40_000;
 
-  /** Ms between two looks at all copies and servers. */
-  private static final double STEP = 5;
+  /** Step of the virtual time. */
+  private static final double STEP_MILLIS = 5;
 
-  private static final int COPIES = 20;
-  private static final int SERVERS = 4;
+  private static final int INSTANCES = 20;
+  private static final int ENDPOINTS = 4;
 
-  /** Mean of the work of a call in a jam, in ms, and how many calls a server holds. */
-  private static final double WORK = 100;
+  /** Mean work of an attempt under overload. */
+  private static final double MEAN_WORK_MILLIS = 100;
 
-  private static final int QUEUE = 30;
+  private static final int QUEUE_LIMIT = 30;
   private static final int SEEDS = 3;
 
-  /** An attempt at a server, and when it ends or how much work of it is left. */
+  /** An attempt at an endpoint, and when it ends or how much work of it is left. */
   private static final class Work {
-    final PolicyHarness copy;
-    final PolicyHarness.Sent sent;
+    final PolicyHarness instance;
+    final PolicyHarness.SentAttempt sent;
     double left;
     boolean givenUp;
 
-    Work(PolicyHarness copy, PolicyHarness.Sent sent, double left) {
-      this.copy = copy;
+    Work(PolicyHarness instance, PolicyHarness.SentAttempt sent, double left) {
+      this.instance = instance;
       this.sent = sent;
       this.left = left;
     }
 
     boolean isOverdue() {
-      return copy.now >= sent.at() + sent.timeout();
+      return instance.now >= sent.atMillis() + sent.timeoutMillis();
     }
   }
 
@@ -57,55 +57,61 @@
     return -mean * Math.log(1 - random.nextDouble());
   }
 
-  private static List<PolicyHarness> copies(long seed) {
-    List<PolicyHarness> copies = new ArrayList<>();
-    for (int i = 0; i < COPIES; i++) {
-      PolicyHarness copy =
+  private static List<PolicyHarness> instances(long seed) {
+    List<PolicyHarness> instances = new ArrayList<>();
+    for (int i = 0; i < INSTANCES; i++) {
+      PolicyHarness instance =
           new PolicyHarness(
-              TestSettings.plain()
-                  .repeat(Idempotency.AT_MOST_ONCE)
-                  .lateWorth(0)
-                  .siblings(COPIES)
-                  .position(i)
+              TestSettings.settings()
+                  .idempotency(Idempotency.AT_MOST_ONCE)
+                  .lateResponseValue(0)
+                  .instanceCount(INSTANCES)
+                  .instanceIndex(i)
                   .build(),
               seed + i);
-      copy.list(
+      instance.updateEndpoints(
           EndpointUpdateType.CACHED,
           Stream.of(1, 2, 3, 4)
-              .map(TestSettings::server)
+              .map(TestSettings::endpoint)
               .toArray(TestSettings.EndpointBuilder[]::new));
-      copies.add(copy);
+      instances.add(instance);
     }
-    return copies;
+    return instances;
   }
 
   /**
-   * Share of the requests that is served in time where each call takes a time of its own, whatever
-   * else is sent: six in ten take over half of their aim, one in nine takes more than all of it.
+   * Share of the requests served in time where latency does not depend on load: six in ten take
+   * over half of the objective, one in nine more than all of it.
    */
-  private static double servedWithoutACrowd(long seed) {
+  private static double servedShareWithoutOverload(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    double part = 0.35 * TestSettings.AIM;
+    double part = 0.35 * TestSettings.OBJECTIVE_MILLIS;
     int served = 0;
     int asked = 0;
-    for (PolicyHarness copy : copies(seed)) {
+    for (PolicyHarness instance : instances(seed)) {
       PriorityQueue<Work> out = new PriorityQueue<>(Comparator.comparingDouble(work -> work.left));
       int seen = 0;
-      double next = copy.now;
-      for (double end = copy.now + LENGTH; copy.now < end; copy.advance(STEP)) {
-        while (!out.isEmpty() && out.peek().left <= copy.now) {
+      double next = instance.now;
+      for (double end = instance.now + LENGTH_MILLIS;
+          instance.now < end;
+          instance.advance(STEP_MILLIS)) {
+        while (!out.isEmpty() && out.peek().left <= instance.now) {
           Work work = out.poll();
-          boolean inTime = work.left <= work.sent.at() + work.sent.timeout();
-          copy.finish(work.sent, inTime ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT);
+          boolean inTime = work.left <= work.sent.atMillis() + work.sent.timeoutMillis();
+          instance.finish(work.sent, inTime ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT);
           served += inTime ? 1 : 0;
         }
-        for (; next <= copy.now; next += exponential(random, 100)) {
-          copy.request(asked++, 0);
+        for (; next <= instance.now; next += exponential(random, 100)) {
+          instance.request(asked++, 0);
         }
-        for (; seen < copy.sends.size(); seen++) {
-          PolicyHarness.Sent sent = copy.sends.get(seen);
+        for (; seen < instance.sentAttempts.size(); seen++) {
+          PolicyHarness.SentAttempt sent = instance.sentAttempts.get(seen);
           double takes = part + exponential(random, part);
-          out.add(new Work(copy, sent, sent.at() + Math.min(takes, sent.timeout() + STEP)));
+          out.add(
+              new Work(
+                  instance,
+                  sent,
+                  sent.atMillis() + Math.min(takes, sent.timeoutMillis() + STEP_MILLIS)));
         }
       }
     }
@@ -113,32 +119,33 @@
   }
 
   /**
-   * Share of what the servers can do that is served in time, where so many times as much is asked
-   * for and what a copy has given up runs on for nobody.
+   * Share of the endpoints' capacity that is served in time at a load of so many times their
+   * capacity; abandoned attempts keep running.
    */
-  private static double servedInAJam(long seed, double load) {
+  private static double servedCapacityUnderOverload(long seed, double load) {
     SplittableRandom random = new SplittableRandom(seed);
-    List<PolicyHarness> copies = copies(seed);
-    List<ArrayDeque<Work>> queues = Stream.generate(ArrayDeque<Work>::new).limit(SERVERS).toList();
-    int[] seen = new int[COPIES];
-    double[] next = new double[COPIES];
-    Arrays.fill(next, copies.get(0).now);
-    double apart = WORK * COPIES / SERVERS / load;
+    List<PolicyHarness> instances = instances(seed);
+    List<ArrayDeque<Work>> queues =
+        Stream.generate(ArrayDeque<Work>::new).limit(ENDPOINTS).toList();
+    int[] seen = new int[INSTANCES];
+    double[] next = new double[INSTANCES];
+    Arrays.fill(next, instances.get(0).now);
+    double apart = MEAN_WORK_MILLIS * INSTANCES / ENDPOINTS / load;
     long asked = 0;
     int served = 0;
-    for (double end = copies.get(0).now + LENGTH; copies.get(0).now < end; ) {
-      for (int i = 0; i < COPIES; i++) {
-        PolicyHarness copy = copies.get(i);
-        for (; next[i] <= copy.now; next[i] += exponential(random, apart)) {
-          copy.request(asked++, 0);
+    for (double end = instances.get(0).now + LENGTH_MILLIS; instances.get(0).now < end; ) {
+      for (int i = 0; i < INSTANCES; i++) {
+        PolicyHarness instance = instances.get(i);
+        for (; next[i] <= instance.now; next[i] += exponential(random, apart)) {
+          instance.request(asked++, 0);
         }
-        for (; seen[i] < copy.sends.size(); seen[i]++) {
-          PolicyHarness.Sent sent = copy.sends.get(seen[i]);
-          ArrayDeque<Work> queue = queues.get((int) sent.upstream() - 1);
-          if (queue.size() < QUEUE) {
-            queue.add(new Work(copy, sent, exponential(random, WORK)));
+        for (; seen[i] < instance.sentAttempts.size(); seen[i]++) {
+          PolicyHarness.SentAttempt sent = instance.sentAttempts.get(seen[i]);
+          ArrayDeque<Work> queue = queues.get((int) sent.endpointId() - 1);
+          if (queue.size() < QUEUE_LIMIT) {
+            queue.add(new Work(instance, sent, exponential(random, MEAN_WORK_MILLIS)));
           } else {
-            copy.finish(sent, AttemptOutcome.FULL);
+            instance.finish(sent, AttemptOutcome.FULL);
           }
         }
       }
@@ -146,20 +153,20 @@
         for (Work work : queue) {
           if (!work.givenUp && work.isOverdue()) {
             work.givenUp = true;
-            work.copy.finish(work.sent, AttemptOutcome.TIMEOUT);
+            work.instance.finish(work.sent, AttemptOutcome.TIMEOUT);
           }
         }
         served += work(queue);
       }
-      copies.forEach(copy -> copy.advance(STEP));
+      instances.forEach(instance -> instance.advance(STEP_MILLIS));
     }
-    return served * WORK / (LENGTH * SERVERS);
+    return served * MEAN_WORK_MILLIS / (LENGTH_MILLIS * ENDPOINTS);
   }
 
-  /** A server works on its queue for one step; how many calls it served. */
+  /** Lets an endpoint work on its queue for one step; returns how many attempts it served. */
   private static int work(ArrayDeque<Work> queue) {
     int served = 0;
-    double time = STEP;
+    double time = STEP_MILLIS;
     while (time > 0 && !queue.isEmpty()) {
       Work work = queue.peek();
       double done = Math.min(time, work.left);
@@ -168,7 +175,7 @@
       if (work.left <= 0) {
         queue.poll();
         if (!work.givenUp) {
-          work.copy.finish(work.sent, AttemptOutcome.OK);
+          work.instance.finish(work.sent, AttemptOutcome.OK);
           served++;
         }
       }
@@ -177,20 +184,20 @@
   }
 
   @Test
-  void callsThatAreLateWithoutACrowdAreNotTakenForOne() {
+  void lateAttemptsWithoutOverloadCauseLittleShedding() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      double served = servedWithoutACrowd(seed);
-      // Without any refusal it would be 0.83; with every sign of overload believed 0.2 at most.
+      double served = servedShareWithoutOverload(seed);
+      // Without shedding it would be 0.83; with every late attempt taken for overload at most 0.2.
       assertTrue(served > 0.3, served + " served at seed " + seed);
     }
   }
 
   @Test
-  void aCrowdIsStillRefusedBeforeItTakesAllDown() {
+  void overloadIsShedBeforeThroughputCollapses() {
     for (double load : new double[] {1.2, 1.5, 3}) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        double served = servedInAJam(seed, load);
-        // Without any refusal it would be under 0.15.
+        double served = servedCapacityUnderOverload(seed, load);
+        // Without shedding it would be under 0.15.
         assertTrue(served > 0.45, served + " served at " + load + " times the load, seed " + seed);
       }
     }
--- a/src/test/java/loadbalancer/policy/PolicyHarness.java
+++ b/src/test/java/loadbalancer/policy/PolicyHarness.java
@@ -15,149 +15,161 @@
 import loadbalancer.model.EndpointUpdateType;
 import loadbalancer.model.PolicySettings;
 
-/** One instance in virtual time: hands it events, keeps its actions, rings its timers. */
+/** One instance in virtual time: hands it events, records its actions, fires its timers. */
 final class PolicyHarness implements PolicyActions {
 
-  record Sent(long request, int attempt, long upstream, double timeout, double at) {}
+  record SentAttempt(
+      long requestId, int attempt, long endpointId, double timeoutMillis, double atMillis) {}
 
-  private record Alarm(double at, long order, long token) {}
+  private record Timer(double atMillis, long order, long token) {}
 
-  final List<Sent> sends = new ArrayList<>();
-  final List<Long> refused = new ArrayList<>();
+  final List<SentAttempt> sentAttempts = new ArrayList<>();
+  final List<Long> rejected = new ArrayList<>();
 
-  /** The advice of the last refusal on when to return. */
-  double retryAfter;
+  /** The advice of the last rejection. */
+  double retryAfterMillis;
 
   final List<Long> failed = new ArrayList<>();
-  final List<Sent> cancelled = new ArrayList<>();
+  final List<SentAttempt> cancelled = new ArrayList<>();
   final Set<Long> open = new HashSet<>();
-  private final Set<Sent> finished = new HashSet<>();
-  int closed;
-  int watches;
+  private final Set<SentAttempt> finished = new HashSet<>();
+  int idleConnectionsClosed;
+  int watchesStarted;
   double now = 100_000;
 
   private final PolicySettings settings;
-  private final LoadBalancingPolicy balancer;
+  private final LoadBalancingPolicy policy;
   private final Map<Long, Integer> attempts = new HashMap<>();
-  private final PriorityQueue<Alarm> alarms =
-      new PriorityQueue<>(Comparator.comparingDouble(Alarm::at).thenComparingLong(Alarm::order));
-  private long alarmsSet;
+  private final PriorityQueue<Timer> timers =
+      new PriorityQueue<>(
+          Comparator.comparingDouble(Timer::atMillis).thenComparingLong(Timer::order));
+  private long timersSet;
 
   PolicyHarness(PolicySettings settings, long seed) {
     this.settings = settings;
-    balancer = new LatencyWeightedPolicy(this);
-    balancer.start(now, settings, seed);
+    policy = new LatencyWeightedPolicy(this);
+    policy.start(now, settings, seed);
   }
 
-  void list(EndpointUpdateType change, TestSettings.EndpointBuilder... servers) {
-    balancer.endpointsChanged(
-        now, change, Arrays.stream(servers).map(TestSettings.EndpointBuilder::listed).toList());
+  void updateEndpoints(EndpointUpdateType change, TestSettings.EndpointBuilder... endpoints) {
+    policy.endpointsChanged(
+        now, change, Arrays.stream(endpoints).map(TestSettings.EndpointBuilder::build).toList());
   }
 
-  void request(long id, int serviceClass) {
+  void request(long id, int requestClass) {
     request(
-        id, serviceClass, now + settings.requestClasses().get(serviceClass).deadlineMillis(), 0);
+        id, requestClass, now + settings.requestClasses().get(requestClass).deadlineMillis(), 0);
   }
 
-  void request(long id, int serviceClass, double deadline, double cost) {
-    request(id, serviceClass, deadline, cost, id);
+  void request(long id, int requestClass, double deadline, double cost) {
+    request(id, requestClass, deadline, cost, id);
   }
 
-  void request(long id, int serviceClass, double deadline, double cost, long key) {
+  void request(long id, int requestClass, double deadline, double cost, long key) {
     open.add(id);
-    balancer.requestArrived(
-        now, new ClientRequest(id, serviceClass, 0, key, deadline, cost, false, false));
+    policy.requestArrived(
+        now, new ClientRequest(id, requestClass, 0, key, deadline, cost, false, false));
   }
 
-  /** A request that its client marked as a repeat. */
-  void retry(long id, int serviceClass) {
+  /** A request that its client has marked as a retry. */
+  void clientRetry(long id, int requestClass) {
     open.add(id);
-    balancer.requestArrived(
+    policy.requestArrived(
         now,
         new ClientRequest(
             id,
-            serviceClass,
+            requestClass,
             0,
             id,
-            now + settings.requestClasses().get(serviceClass).deadlineMillis(),
+            now + settings.requestClasses().get(requestClass).deadlineMillis(),
             0,
             true,
             false));
   }
 
-  /** A request with a key and its class's whole deadline. */
-  void keyed(long id, int serviceClass, long key) {
+  /** A request with a key and the deadline of its class. */
+  void orderedRequest(long id, int requestClass, long key) {
     request(
         id,
-        serviceClass,
-        now + settings.requestClasses().get(serviceClass).deadlineMillis(),
+        requestClass,
+        now + settings.requestClasses().get(requestClass).deadlineMillis(),
         0,
         key);
   }
 
-  void finish(Sent sent, AttemptOutcome result) {
-    finishAfter(sent, result, now - sent.at());
+  void finish(SentAttempt sent, AttemptOutcome result) {
+    finishAfter(sent, result, now - sent.atMillis());
   }
 
-  /** An outcome whose host has not yet heard that the request is over. */
-  void finishUnclosed(Sent sent, AttemptOutcome result) {
-    balancer.attemptFinished(
+  /** A result that the host sent before it learned that the request was closed. */
+  void finishBeforeClose(SentAttempt sent, AttemptOutcome result) {
+    policy.attemptFinished(
         now,
         new AttemptResult(
-            sent.request(), sent.attempt(), sent.upstream(), result, false, now - sent.at(), null));
+            sent.requestId(),
+            sent.attempt(),
+            sent.endpointId(),
+            result,
+            false,
+            now - sent.atMillis(),
+            null));
   }
 
-  void timer(long token) {
-    balancer.timerExpired(now, token);
+  void fireTimer(long token) {
+    policy.timerExpired(now, token);
   }
 
-  void finishAfter(Sent sent, AttemptOutcome result, double elapsed) {
+  void finishAfter(SentAttempt sent, AttemptOutcome result, double elapsed) {
     if (!finished.add(sent)) {
       throw new AssertionError(
           "a second outcome for " + sent + ": no attempt and no answer followed");
     }
     if (result == AttemptOutcome.OK) {
-      open.remove(sent.request());
+      open.remove(sent.requestId());
     }
-    balancer.attemptFinished(
+    policy.attemptFinished(
         now,
         new AttemptResult(
-            sent.request(),
+            sent.requestId(),
             sent.attempt(),
-            sent.upstream(),
+            sent.endpointId(),
             result,
-            !open.contains(sent.request()),
+            !open.contains(sent.requestId()),
             elapsed,
             null));
   }
 
-  void streamStarted(Sent sent) {
-    balancer.responseStarted(now, sent.request(), sent.attempt(), now - sent.at());
+  void startStream(SentAttempt sent) {
+    policy.responseStarted(now, sent.requestId(), sent.attempt(), now - sent.atMillis());
   }
 
-  void clientGone(long id) {
+  void disconnectClient(long id) {
     open.remove(id);
-    balancer.clientDisconnected(now, id);
+    policy.clientDisconnected(now, id);
   }
 
-  /** Moves the clock on, ringing what falls due on the way. */
+  /** Moves the clock on and fires the timers that fall due. */
   void advance(double ms) {
     double until = now + ms;
-    while (!alarms.isEmpty() && alarms.peek().at() <= until) {
-      Alarm alarm = alarms.poll();
-      now = Math.max(now, alarm.at());
-      balancer.timerExpired(now, alarm.token());
+    while (!timers.isEmpty() && timers.peek().atMillis() <= until) {
+      Timer timer = timers.poll();
+      now = Math.max(now, timer.atMillis());
+      policy.timerExpired(now, timer.token());
     }
     now = until;
   }
 
-  /** At how many different times timers are set to ring within the next ms. */
-  long timesAhead(double ms) {
-    return alarms.stream().mapToDouble(Alarm::at).filter(at -> at <= now + ms).distinct().count();
+  /** The number of different times at which timers are due within the next ms. */
+  long distinctTimerTimes(double ms) {
+    return timers.stream()
+        .mapToDouble(Timer::atMillis)
+        .filter(at -> at <= now + ms)
+        .distinct()
+        .count();
   }
 
-  Sent lastSend() {
-    return sends.get(sends.size() - 1);
+  SentAttempt lastAttempt() {
+    return sentAttempts.get(sentAttempts.size() - 1);
   }
 
   boolean isOpen(long id) {
@@ -167,14 +179,14 @@
   @Override
   public void sendAttempt(long requestId, long upstream, double timeout) {
     int attempt = attempts.merge(requestId, 1, Integer::sum) - 1;
-    sends.add(new Sent(requestId, attempt, upstream, timeout, now));
+    sentAttempts.add(new SentAttempt(requestId, attempt, upstream, timeout, now));
   }
 
   @Override
   public void reject(long requestId, double retryAfter) {
     open.remove(requestId);
-    refused.add(requestId);
-    this.retryAfter = retryAfter;
+    rejected.add(requestId);
+    this.retryAfterMillis = retryAfter;
   }
 
   @Override
@@ -185,8 +197,8 @@
 
   @Override
   public void cancelAttempt(long requestId, int attempt) {
-    for (Sent sent : sends) {
-      if (sent.request() == requestId && sent.attempt() == attempt) {
+    for (SentAttempt sent : sentAttempts) {
+      if (sent.requestId() == requestId && sent.attempt() == attempt) {
         cancelled.add(sent);
       }
     }
@@ -194,36 +206,36 @@
 
   @Override
   public void scheduleTimer(long token, double at) {
-    alarms.add(new Alarm(at, alarmsSet++, token));
+    timers.add(new Timer(at, timersSet++, token));
   }
 
   @Override
   public void closeIdleConnections(long upstream) {
-    closed++;
+    idleConnectionsClosed++;
   }
 
   @Override
   public void watchEndpoints(boolean on) {
-    watches++;
+    watchesStarted++;
   }
 
   @Override
   public void checkHealth(long upstream) {
-    throw new AssertionError("no site of these tests allows probes");
+    throw new AssertionError("no test expects a health check");
   }
 
   @Override
   public void fetchEndpoints() {
-    throw new AssertionError("nothing needs a fetch");
+    throw new AssertionError("no test expects a fetch");
   }
 
   @Override
   public void sendToPeer(int peer, byte[] payload) {
-    throw new AssertionError("no site of these tests has peers");
+    throw new AssertionError("no test has peers");
   }
 
   @Override
   public void log(String text) {
-    // Log lines decide nothing.
+    // Log lines are not checked.
   }
 }
--- a/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -20,7 +20,7 @@
 
 /**
  * Random legal event sequences; the rules are checked after every step against the test's own
- * books.
+ * record.
  */
 class RandomEventsTest {
 
@@ -46,14 +46,14 @@
       one.check("one");
       two.check("two");
     }
-    assertFalse(one.bench.sends.isEmpty());
-    assertEquals(one.bench.sends, two.bench.sends);
-    assertEquals(one.bench.refused, two.bench.refused);
+    assertFalse(one.harness.sentAttempts.isEmpty());
+    assertEquals(one.harness.sentAttempts, two.harness.sentAttempts);
+    assertEquals(one.harness.rejected, two.harness.rejected);
   }
 
-  /** One instance under random events, with the books on which its actions are judged. */
+  /** One instance under random events, with the record that its actions are checked against. */
   private static final class Driver {
-    private static final int SERVERS = 6;
+    private static final int ENDPOINTS = 6;
     private static final double SETTLE = 100;
     private static final AttemptOutcome[] UNSERVED = {
       AttemptOutcome.ERROR,
@@ -65,64 +65,67 @@
     };
 
     private final SplittableRandom random;
-    private final Idempotency repeat;
-    private final DeduplicationScope group;
-    private final boolean parallel;
+    private final Idempotency idempotency;
+    private final DeduplicationScope deduplicationScope;
+    private final boolean parallelAttempts;
     private final boolean streamed;
-    private final boolean inOrder;
-    private final boolean placed;
-    private final PolicyHarness bench;
-    private final TestSettings.EndpointBuilder[] servers =
-        new TestSettings.EndpointBuilder[SERVERS];
-    private final EndpointState[] states = new EndpointState[SERVERS];
+    private final boolean orderedByKey;
+    private final boolean restricted;
+    private final PolicyHarness harness;
+    private final TestSettings.EndpointBuilder[] endpoints =
+        new TestSettings.EndpointBuilder[ENDPOINTS];
+    private final EndpointState[] states = new EndpointState[ENDPOINTS];
 
-    /** Sends whose outcome has not come. */
-    private final List<PolicyHarness.Sent> out = new ArrayList<>();
+    /** Attempts that are still running. */
+    private final List<PolicyHarness.SentAttempt> out = new ArrayList<>();
 
-    private final Map<Long, List<PolicyHarness.Sent>> byRequest = new HashMap<>();
-    private final Set<PolicyHarness.Sent> provenUnrun = new HashSet<>();
+    private final Map<Long, List<PolicyHarness.SentAttempt>> byRequest = new HashMap<>();
+    private final Set<PolicyHarness.SentAttempt> provenUnrun = new HashSet<>();
     private final Map<Long, Double> deadlines = new HashMap<>();
     private final Set<Long> streaming = new HashSet<>();
     private final Set<Long> servedOrGone = new HashSet<>();
     private final Map<Long, Integer> classOf = new HashMap<>();
     private final Map<Long, Long> keyOf = new HashMap<>();
 
-    /** Since when no attempt of a request that was given up counts as running any more. */
-    private final Map<Long, Double> rested = new HashMap<>();
+    /** From when on no abandoned attempt of a request counts as running. */
+    private final Map<Long, Double> keyFreeAt = new HashMap<>();
 
-    /** Since a server was last listed anew: its start, sends to it, what all requests earned it. */
-    private final double[] started = new double[SERVERS];
+    /** For each endpoint since it was last listed anew: its start, attempts, granted budget. */
+    private final double[] started = new double[ENDPOINTS];
 
-    private final int[] sentTo = new int[SERVERS];
-    private final double[] earned = new double[SERVERS];
+    private final int[] sentTo = new int[ENDPOINTS];
+    private final double[] granted = new double[ENDPOINTS];
     private int seen;
-    private int refusedSeen;
+    private int rejectedSeen;
     private long nextId;
 
     Driver(long seed) {
       random = new SplittableRandom(seed);
-      repeat = Idempotency.values()[random.nextInt(3)];
-      group = DeduplicationScope.values()[random.nextInt(3)];
-      parallel = random.nextBoolean();
+      idempotency = Idempotency.values()[random.nextInt(3)];
+      deduplicationScope = DeduplicationScope.values()[random.nextInt(3)];
+      parallelAttempts = random.nextBoolean();
       streamed = random.nextInt(4) == 0;
-      inOrder = !streamed && random.nextBoolean();
-      placed = random.nextInt(3) == 0;
+      orderedByKey = !streamed && random.nextBoolean();
+      restricted = random.nextInt(3) == 0;
       TestSettings.Builder site =
-          TestSettings.plain()
-              .repeat(repeat)
-              .group(group)
-              .memory(700)
-              .parallel(parallel)
+          TestSettings.settings()
+              .idempotency(idempotency)
+              .deduplicationScope(deduplicationScope)
+              .deduplicationWindowMillis(700)
+              .parallelAttempts(parallelAttempts)
               .streamed(streamed)
-              .inOrder(inOrder)
-              .siblings(3)
-              .lateWorth(random.nextBoolean() ? 0.3 : 0);
-      bench = new PolicyHarness((placed ? site.onlyZones(1).onlyKinds(0) : site).build(), seed);
-      for (int i = 0; i < SERVERS; i++) {
-        servers[i] = TestSettings.server(i + 1).zone(i % 2).cell(i / 2).kind(i / 4);
+              .orderedByKey(orderedByKey)
+              .instanceCount(3)
+              .lateResponseValue(random.nextBoolean() ? 0.3 : 0);
+      harness =
+          new PolicyHarness(
+              (restricted ? site.allowedZones(1).allowedMachineTypes(0) : site).build(), seed);
+      for (int i = 0; i < ENDPOINTS; i++) {
+        endpoints[i] =
+            TestSettings.endpoint(i + 1).zone(i % 2).deduplicationGroup(i / 2).machineType(i / 4);
         states[i] = EndpointState.READY;
       }
-      bench.list(EndpointUpdateType.CACHED, servers);
+      harness.updateEndpoints(EndpointUpdateType.CACHED, endpoints);
     }
 
     private void step() {
@@ -138,12 +141,12 @@
 
     private void arrive() {
       long id = nextId++;
-      double deadline = bench.now + random.nextInt(-20, 2_000);
+      double deadline = harness.now + random.nextInt(-20, 2_000);
       deadlines.put(id, deadline);
       classOf.put(id, random.nextInt(2));
       keyOf.put(id, (long) random.nextInt(4));
-      earn(classOf.get(id));
-      bench.request(
+      grant(classOf.get(id));
+      harness.request(
           id,
           classOf.get(id),
           deadline,
@@ -151,23 +154,23 @@
           keyOf.get(id));
     }
 
-    /** Whether a request's class may go to a server at all. */
-    private boolean open(int serviceClass, int server) {
-      return !placed || serviceClass == 1 || (server % 2 == 1 && server / 4 == 0);
+    /** Whether a request's class may go to an endpoint at all. */
+    private boolean open(int requestClass, int endpoint) {
+      return !restricted || requestClass == 1 || (endpoint % 2 == 1 && endpoint / 4 == 0);
     }
 
     /**
-     * A cold server earns 0.9 of its present part of what it might get, of half the fleet at least.
+     * A warming endpoint is granted 0.9 of its present share, of half the open endpoints at least.
      */
-    private void earn(int serviceClass) {
+    private void grant(int requestClass) {
       long usable = 0;
-      for (int i = 0; i < SERVERS; i++) {
-        usable += states[i] == EndpointState.READY && open(serviceClass, i) ? 1 : 0;
+      for (int i = 0; i < ENDPOINTS; i++) {
+        usable += states[i] == EndpointState.READY && open(requestClass, i) ? 1 : 0;
       }
-      for (int i = 0; i < SERVERS; i++) {
-        if (usable > 0 && open(serviceClass, i)) {
-          double warmth = Math.min(1, 0.2 + 0.8 * (bench.now - started[i]) / 10_000);
-          earned[i] += 0.9 * warmth / (usable / 2.0);
+      for (int i = 0; i < ENDPOINTS; i++) {
+        if (usable > 0 && open(requestClass, i)) {
+          double warmUpFraction = Math.min(1, 0.2 + 0.8 * (harness.now - started[i]) / 10_000);
+          granted[i] += 0.9 * warmUpFraction / (usable / 2.0);
         }
       }
     }
@@ -176,36 +179,36 @@
       if (out.isEmpty()) {
         return;
       }
-      PolicyHarness.Sent sent = out.remove(random.nextInt(out.size()));
+      PolicyHarness.SentAttempt sent = out.remove(random.nextInt(out.size()));
       AttemptOutcome result =
           random.nextInt(3) > 0 ? AttemptOutcome.OK : UNSERVED[random.nextInt(UNSERVED.length)];
-      if (!bench.isOpen(sent.request())) {
+      if (!harness.isOpen(sent.requestId())) {
         result = random.nextBoolean() ? AttemptOutcome.CANCELLED : result;
       }
       if (result == AttemptOutcome.OK) {
-        servedOrGone.add(sent.request());
+        servedOrGone.add(sent.requestId());
       }
       finish(sent, result);
     }
 
-    private void finish(PolicyHarness.Sent sent, AttemptOutcome result) {
+    private void finish(PolicyHarness.SentAttempt sent, AttemptOutcome result) {
       if (result.neverRan()) {
         provenUnrun.add(sent);
       }
       if (result == AttemptOutcome.TIMEOUT
           || result == AttemptOutcome.RESET
           || result == AttemptOutcome.CANCELLED) {
-        rested.put(sent.request(), bench.now + SETTLE);
+        keyFreeAt.put(sent.requestId(), harness.now + SETTLE);
       }
-      bench.finish(sent, result);
+      harness.finish(sent, result);
     }
 
     private void changeList() {
-      int i = random.nextInt(SERVERS);
+      int i = random.nextInt(ENDPOINTS);
       states[i] = EndpointState.values()[random.nextInt(3)];
       if (random.nextBoolean()) {
-        servers[i].startedAt(bench.now);
-        started[i] = bench.now;
+        endpoints[i].startedAt(harness.now);
+        started[i] = harness.now;
         listedAnew(i);
       }
       if (states[i] == EndpointState.REMOVED) {
@@ -213,160 +216,167 @@
       }
       if (random.nextInt(4) == 0) {
         List<TestSettings.EndpointBuilder> all = new ArrayList<>();
-        for (int k = 0; k < SERVERS; k++) {
+        for (int k = 0; k < ENDPOINTS; k++) {
           if (states[k] != EndpointState.REMOVED) {
-            all.add(servers[k].state(states[k]));
+            all.add(endpoints[k].state(states[k]));
           }
         }
-        bench.list(EndpointUpdateType.FULL, all.toArray(TestSettings.EndpointBuilder[]::new));
+        harness.updateEndpoints(
+            EndpointUpdateType.FULL, all.toArray(TestSettings.EndpointBuilder[]::new));
       } else if (random.nextInt(5) == 0) {
-        // The change is not told yet: the state stays as it was for the books.
-        bench.list(EndpointUpdateType.FAILED);
+        // The change is not notified: a failed call changes no state.
+        harness.updateEndpoints(EndpointUpdateType.FAILED);
         states[i] = EndpointState.REMOVED;
         listedAnew(i);
-        bench.list(EndpointUpdateType.DELTA, servers[i].state(EndpointState.REMOVED));
+        harness.updateEndpoints(
+            EndpointUpdateType.DELTA, endpoints[i].state(EndpointState.REMOVED));
       } else {
-        bench.list(EndpointUpdateType.DELTA, servers[i].state(states[i]));
+        harness.updateEndpoints(EndpointUpdateType.DELTA, endpoints[i].state(states[i]));
       }
     }
 
-    private void listedAnew(int server) {
-      sentTo[server] = 0;
-      earned[server] = 0;
+    private void listedAnew(int endpoint) {
+      sentTo[endpoint] = 0;
+      granted[endpoint] = 0;
     }
 
-    /** Rule 4: one call at once and then what is earned. */
-    private void checkColdBudget(PolicyHarness.Sent sent, String where) {
-      int server = (int) sent.upstream() - 1;
-      if (started[server] != 0 && sent.at() - started[server] < 10_000) {
-        sentTo[server]++;
+    /** Slow start: one attempt at once and then what is granted. */
+    private void checkWarmUpBudget(PolicyHarness.SentAttempt sent, String where) {
+      int endpoint = (int) sent.endpointId() - 1;
+      if (started[endpoint] != 0 && sent.atMillis() - started[endpoint] < 10_000) {
+        sentTo[endpoint]++;
         assertTrue(
-            sentTo[server] <= 1 + earned[server] + 1e-9,
-            where + ": rule 4: " + sentTo[server] + " of " + earned[server]);
+            sentTo[endpoint] <= 1 + granted[endpoint] + 1e-9,
+            where + ": slow start: " + sentTo[endpoint] + " of " + granted[endpoint]);
       }
     }
 
     private void leave() {
-      if (!bench.open.isEmpty() && random.nextInt(3) == 0) {
-        long id = bench.open.stream().mapToLong(Long::longValue).min().orElseThrow();
+      if (!harness.open.isEmpty() && random.nextInt(3) == 0) {
+        long id = harness.open.stream().mapToLong(Long::longValue).min().orElseThrow();
         servedOrGone.add(id);
-        bench.clientGone(id);
+        harness.disconnectClient(id);
       }
     }
 
     private void stream() {
       if (streamed && !out.isEmpty()) {
-        PolicyHarness.Sent sent = out.get(random.nextInt(out.size()));
-        if (bench.isOpen(sent.request()) && streaming.add(sent.request())) {
-          bench.streamStarted(sent);
+        PolicyHarness.SentAttempt sent = out.get(random.nextInt(out.size()));
+        if (harness.isOpen(sent.requestId()) && streaming.add(sent.requestId())) {
+          harness.startStream(sent);
         }
       }
     }
 
-    /** Time-outs fall due on the way, as the host would report them, also for what timers send. */
+    /**
+     * Moves the clock on; reports timeouts as the host would, also of attempts that timers send.
+     */
     private void advance(double ms) {
-      double until = bench.now + ms;
-      while (bench.now < until) {
-        bench.advance(Math.min(5, until - bench.now));
+      double until = harness.now + ms;
+      while (harness.now < until) {
+        harness.advance(Math.min(5, until - harness.now));
         check("on the way");
-        for (PolicyHarness.Sent sent : List.copyOf(out)) {
-          boolean due = !streaming.contains(sent.request()) && expiry(sent) <= bench.now;
+        for (PolicyHarness.SentAttempt sent : List.copyOf(out)) {
+          boolean due = !streaming.contains(sent.requestId()) && expiry(sent) <= harness.now;
           if (due && out.remove(sent)) {
             finish(sent, AttemptOutcome.TIMEOUT);
-            check("time-out");
+            check("timeout");
           }
         }
       }
     }
 
-    private double expiry(PolicyHarness.Sent sent) {
-      return Math.min(sent.at() + Math.max(0, sent.timeout()), deadlines.get(sent.request()));
+    private double expiry(PolicyHarness.SentAttempt sent) {
+      return Math.min(
+          sent.atMillis() + Math.max(0, sent.timeoutMillis()), deadlines.get(sent.requestId()));
     }
 
     private void check(String where) {
-      for (; seen < bench.sends.size(); seen++) {
-        PolicyHarness.Sent sent = bench.sends.get(seen);
+      for (; seen < harness.sentAttempts.size(); seen++) {
+        PolicyHarness.SentAttempt sent = harness.sentAttempts.get(seen);
         checkSend(sent, where + ": " + sent);
-        checkColdBudget(sent, where + ": " + sent);
-        byRequest.computeIfAbsent(sent.request(), k -> new ArrayList<>()).add(sent);
+        checkWarmUpBudget(sent, where + ": " + sent);
+        byRequest.computeIfAbsent(sent.requestId(), k -> new ArrayList<>()).add(sent);
         out.add(sent);
       }
-      for (; refusedSeen < bench.refused.size(); refusedSeen++) {
-        long id = bench.refused.get(refusedSeen);
+      for (; rejectedSeen < harness.rejected.size(); rejectedSeen++) {
+        long id = harness.rejected.get(rejectedSeen);
         boolean maybeRun =
             byRequest.getOrDefault(id, List.of()).stream().anyMatch(s -> !provenUnrun.contains(s));
         assertTrue(
             !maybeRun
-                || repeat == Idempotency.IDEMPOTENT
-                || (repeat == Idempotency.DEDUPLICATED && group == DeduplicationScope.ALL),
-            where + ": refused " + id);
+                || idempotency == Idempotency.IDEMPOTENT
+                || (idempotency == Idempotency.DEDUPLICATED
+                    && deduplicationScope == DeduplicationScope.ALL),
+            where + ": rejected " + id);
       }
       Set<Long> answered = new HashSet<>(servedOrGone);
-      for (long id : bench.refused) {
+      for (long id : harness.rejected) {
         assertTrue(answered.add(id), where + ": second final answer for " + id);
       }
-      for (long id : bench.failed) {
+      for (long id : harness.failed) {
         assertTrue(answered.add(id), where + ": second final answer for " + id);
       }
-      for (long id : bench.open) {
+      for (long id : harness.open) {
         assertTrue(
-            streaming.contains(id) || bench.now <= deadlines.get(id) + 20,
+            streaming.contains(id) || harness.now <= deadlines.get(id) + 20,
             where + ": no answer in time for " + id);
       }
     }
 
-    private void checkSend(PolicyHarness.Sent sent, String where) {
-      int server = (int) sent.upstream() - 1;
-      assertEquals(EndpointState.READY, states[server], where + ": rule 3");
-      assertTrue(open(classOf.get(sent.request()), server), where + ": rule 6");
+    private void checkSend(PolicyHarness.SentAttempt sent, String where) {
+      int endpoint = (int) sent.endpointId() - 1;
+      assertEquals(EndpointState.READY, states[endpoint], where + ": not ready");
+      assertTrue(open(classOf.get(sent.requestId()), endpoint), where + ": placement");
       checkOrder(sent, where);
-      assertFalse(servedOrGone.contains(sent.request()), where + ": sent after the end");
-      List<PolicyHarness.Sent> earlier = byRequest.getOrDefault(sent.request(), List.of());
+      assertFalse(servedOrGone.contains(sent.requestId()), where + ": sent after the end");
+      List<PolicyHarness.SentAttempt> earlier = byRequest.getOrDefault(sent.requestId(), List.of());
       assertTrue(earlier.size() < 4, where + ": too many attempts");
-      assertTrue(parallel || earlier.stream().noneMatch(out::contains), where + ": two at once");
-      for (PolicyHarness.Sent before : earlier) {
-        if (provenUnrun.contains(before) || repeat == Idempotency.IDEMPOTENT) {
+      assertTrue(
+          parallelAttempts || earlier.stream().noneMatch(out::contains), where + ": two at once");
+      for (PolicyHarness.SentAttempt before : earlier) {
+        if (provenUnrun.contains(before) || idempotency == Idempotency.IDEMPOTENT) {
           continue;
         }
-        assertTrue(repeat == Idempotency.DEDUPLICATED, where + ": unsafe repeated");
-        assertTrue(sent.at() <= before.at() + 700, where + ": outside the window");
-        int was = (int) before.upstream() - 1;
+        assertTrue(idempotency == Idempotency.DEDUPLICATED, where + ": unsafe repeated");
+        assertTrue(sent.atMillis() <= before.atMillis() + 700, where + ": outside the window");
+        int was = (int) before.endpointId() - 1;
         assertTrue(
-            group == DeduplicationScope.ALL
-                || (group == DeduplicationScope.ZONE
-                    ? was % 2 == server % 2
-                    : was / 2 == server / 2),
+            deduplicationScope == DeduplicationScope.ALL
+                || (deduplicationScope == DeduplicationScope.ZONE
+                    ? was % 2 == endpoint % 2
+                    : was / 2 == endpoint / 2),
             where + ": outside the group");
       }
     }
 
-    /** Rule 5: ids rise in order of arrival; key 0 is no key. */
-    private void checkOrder(PolicyHarness.Sent sent, String where) {
-      long key = keyOf.get(sent.request());
-      for (long id = 0; inOrder && key != 0 && id < sent.request(); id++) {
+    /** Key order: ids rise in order of arrival; key 0 is no key. */
+    private void checkOrder(PolicyHarness.SentAttempt sent, String where) {
+      long key = keyOf.get(sent.requestId());
+      for (long id = 0; orderedByKey && key != 0 && id < sent.requestId(); id++) {
         long before = id;
         if (keyOf.get(before) == key) {
-          assertFalse(bench.isOpen(before), where + ": rule 5: before " + before);
+          assertFalse(harness.isOpen(before), where + ": key order: before " + before);
           assertTrue(
-              out.stream().noneMatch(other -> other.request() == before),
-              where + ": rule 5: while an attempt of " + before + " is out");
+              out.stream().noneMatch(other -> other.requestId() == before),
+              where + ": key order: while an attempt of " + before + " is running");
           assertTrue(
-              sent.at() >= rested.getOrDefault(before, 0.0),
-              where + ": rule 5: before the key has rested after " + before);
+              sent.atMillis() >= keyFreeAt.getOrDefault(before, 0.0),
+              where + ": key order: before the key is free after " + before);
         }
       }
     }
 
-    /** At the end every request has had its answer. */
+    /** At the end every request has had its final response. */
     private void drain(String where) {
       advance(5_000);
-      for (PolicyHarness.Sent sent : List.copyOf(out)) {
+      for (PolicyHarness.SentAttempt sent : List.copyOf(out)) {
         out.remove(sent);
-        servedOrGone.add(sent.request());
-        bench.finish(sent, AttemptOutcome.OK);
+        servedOrGone.add(sent.requestId());
+        harness.finish(sent, AttemptOutcome.OK);
       }
       check(where);
-      assertTrue(bench.open.isEmpty(), where + ": unanswered " + bench.open);
+      assertTrue(harness.open.isEmpty(), where + ": no response for " + harness.open);
     }
   }
 }
--- a/src/test/java/loadbalancer/policy/TestSettings.java
+++ b/src/test/java/loadbalancer/policy/TestSettings.java
@@ -12,27 +12,27 @@
 import loadbalancer.model.RequestClass;
 import loadbalancer.model.RuleSettings;
 
-/** Settings and server entries for tests. */
+/** Settings and endpoint entries for tests. */
 final class TestSettings {
 
-  static final double AIM = 1_000;
-  static final double DEADLINE = 2_000;
+  static final double OBJECTIVE_MILLIS = 1_000;
+  static final double DEADLINE_MILLIS = 2_000;
 
   private TestSettings() {}
 
-  static Builder plain() {
+  static Builder settings() {
     return new Builder();
   }
 
-  static EndpointBuilder server(long id) {
+  static EndpointBuilder endpoint(long id) {
     return new EndpointBuilder(id);
   }
 
   static final class EndpointBuilder {
     private final long id;
     private int zone;
-    private int cell;
-    private int kind;
+    private int deduplicationGroup;
+    private int machineType;
     private EndpointState state = EndpointState.READY;
     private double startedAt;
 
@@ -45,13 +45,13 @@
       return this;
     }
 
-    EndpointBuilder cell(int value) {
-      cell = value;
+    EndpointBuilder deduplicationGroup(int value) {
+      deduplicationGroup = value;
       return this;
     }
 
-    EndpointBuilder kind(int value) {
-      kind = value;
+    EndpointBuilder machineType(int value) {
+      machineType = value;
       return this;
     }
 
@@ -65,75 +65,75 @@
       return this;
     }
 
-    Endpoint listed() {
-      return new Endpoint(id, zone, kind, cell, state, 1, startedAt);
+    Endpoint build() {
+      return new Endpoint(id, zone, machineType, deduplicationGroup, state, 1, startedAt);
     }
   }
 
   static final class Builder {
-    private Idempotency repeat = Idempotency.IDEMPOTENT;
-    private DeduplicationScope group = DeduplicationScope.ALL;
-    private double memory = 5_000;
-    private double lateWorth = 0.5;
-    private boolean parallel;
-    private boolean subscribe;
+    private Idempotency idempotency = Idempotency.IDEMPOTENT;
+    private DeduplicationScope deduplicationScope = DeduplicationScope.ALL;
+    private double deduplicationWindowMillis = 5_000;
+    private double lateResponseValue = 0.5;
+    private boolean parallelAttempts;
+    private boolean explicitWatch;
     private boolean streamed;
-    private int siblings = 1;
-    private int position;
+    private int instanceCount = 1;
+    private int instanceIndex;
     private int tier;
-    private double crossZone;
-    private double connection;
-    private double askEvery = 10_000;
-    private double drainGrace = 500;
-    private boolean inOrder;
-    private List<Integer> onlyZones;
-    private List<Integer> onlyKinds;
+    private double crossZoneCost;
+    private double connectionCost;
+    private double pollIntervalMillis = 10_000;
+    private double drainGraceMillis = 500;
+    private boolean orderedByKey;
+    private List<Integer> allowedZones;
+    private List<Integer> allowedMachineTypes;
 
-    /** Both classes take turns per key; keys rest for 100 ms. */
-    Builder inOrder(boolean value) {
-      inOrder = value;
+    /** Both classes are ordered by key; a key stays reserved for 100 ms. */
+    Builder orderedByKey(boolean value) {
+      orderedByKey = value;
       return this;
     }
 
     /** The first class may only go to these zones. */
-    Builder onlyZones(Integer... values) {
-      onlyZones = List.of(values);
+    Builder allowedZones(Integer... values) {
+      allowedZones = List.of(values);
       return this;
     }
 
     /** The first class may only go to these machine types. */
-    Builder onlyKinds(Integer... values) {
-      onlyKinds = List.of(values);
+    Builder allowedMachineTypes(Integer... values) {
+      allowedMachineTypes = List.of(values);
       return this;
     }
 
-    Builder repeat(Idempotency value) {
-      repeat = value;
+    Builder idempotency(Idempotency value) {
+      idempotency = value;
       return this;
     }
 
-    Builder group(DeduplicationScope value) {
-      group = value;
+    Builder deduplicationScope(DeduplicationScope value) {
+      deduplicationScope = value;
       return this;
     }
 
-    Builder memory(double value) {
-      memory = value;
+    Builder deduplicationWindowMillis(double value) {
+      deduplicationWindowMillis = value;
       return this;
     }
 
-    Builder lateWorth(double value) {
-      lateWorth = value;
+    Builder lateResponseValue(double value) {
+      lateResponseValue = value;
       return this;
     }
 
-    Builder parallel(boolean value) {
-      parallel = value;
+    Builder parallelAttempts(boolean value) {
+      parallelAttempts = value;
       return this;
     }
 
-    Builder subscribe(boolean value) {
-      subscribe = value;
+    Builder explicitWatch(boolean value) {
+      explicitWatch = value;
       return this;
     }
 
@@ -142,13 +142,13 @@
       return this;
     }
 
-    Builder siblings(int value) {
-      siblings = value;
+    Builder instanceCount(int value) {
+      instanceCount = value;
       return this;
     }
 
-    Builder position(int value) {
-      position = value;
+    Builder instanceIndex(int value) {
+      instanceIndex = value;
       return this;
     }
 
@@ -157,23 +157,23 @@
       return this;
     }
 
-    Builder crossZone(double value) {
-      crossZone = value;
+    Builder crossZoneCost(double value) {
+      crossZoneCost = value;
       return this;
     }
 
-    Builder connection(double value) {
-      connection = value;
+    Builder connectionCost(double value) {
+      connectionCost = value;
       return this;
     }
 
-    Builder askEvery(double value) {
-      askEvery = value;
+    Builder pollIntervalMillis(double value) {
+      pollIntervalMillis = value;
       return this;
     }
 
-    Builder drainGrace(double value) {
-      drainGrace = value;
+    Builder drainGraceMillis(double value) {
+      drainGraceMillis = value;
       return this;
     }
 
@@ -181,27 +181,49 @@
       List<RequestClass> classes =
           List.of(
               new RequestClass(
-                  "first", AIM, 0, DEADLINE, 5, lateWorth, repeat, group, memory, streamed, inOrder,
-                  onlyZones, onlyKinds),
+                  "first",
+                  OBJECTIVE_MILLIS,
+                  0,
+                  DEADLINE_MILLIS,
+                  5,
+                  lateResponseValue,
+                  idempotency,
+                  deduplicationScope,
+                  deduplicationWindowMillis,
+                  streamed,
+                  orderedByKey,
+                  allowedZones,
+                  allowedMachineTypes),
               new RequestClass(
-                  "second", AIM, 0, DEADLINE, 1, lateWorth, repeat, group, memory, streamed,
-                  inOrder, null, null));
+                  "second",
+                  OBJECTIVE_MILLIS,
+                  0,
+                  DEADLINE_MILLIS,
+                  1,
+                  lateResponseValue,
+                  idempotency,
+                  deduplicationScope,
+                  deduplicationWindowMillis,
+                  streamed,
+                  orderedByKey,
+                  null,
+                  null));
       return new PolicySettings(
-          position,
-          siblings,
+          instanceIndex,
+          instanceCount,
           tier,
           0,
           2,
-          subscribe,
+          explicitWatch,
           false,
           0.2,
           LoadReportMode.NONE,
           List.of(),
           classes,
           List.of(),
-          new LimitSettings(4, true, parallel, true, 2_000, 100, 30_000),
-          new RuleSettings(20, drainGrace, askEvery, 0.2, 10_000, 3, 100),
-          new CostSettings(crossZone, connection, 0));
+          new LimitSettings(4, true, parallelAttempts, true, 2_000, 100, 30_000),
+          new RuleSettings(20, drainGraceMillis, pollIntervalMillis, 0.2, 10_000, 3, 100),
+          new CostSettings(crossZoneCost, connectionCost, 0));
     }
   }
 }
