--- a/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
@@ -10,9 +10,9 @@
 
 /**
  * Measures how late an event loop is. An event that becomes ready while the loop is busy waits
- * unread until the next call to the selector; this class gives a bound of that wait and
- * countsByBits iterations by their duration. To know when the loop blocks, it also decides when the
- * loop may block and for how long. Used on the thread of its event loop only.
+ * unread until the next call to the selector; this class gives a bound of that wait and counts
+ * iterations by their duration. To know when the loop blocks, it also decides when the loop may
+ * block and for how long. Used on the thread of its event loop only.
  */
 public final class EventLoopMonitor {
 
@@ -101,7 +101,7 @@
     return (double) Math.max(windowMaxNanos, previousWindowMaxNanos) / NANOS_PER_MILLI;
   }
 
-  /** Reports the iterations since the last report and resets the countsByBits. */
+  /** Reports the iterations since the last report and resets the counts. */
   public Report report() {
     long total = 0;
     for (long count : countsByBits) {
--- a/src/test/java/loadbalancer/proxy/CrossZoneSpillTest.java
+++ b/src/test/java/loadbalancer/proxy/CrossZoneSpillTest.java
@@ -55,18 +55,18 @@
   @Test
   void queueInTheOwnZoneSendsRequestsToAnotherZoneBeforeTheyAreLate() throws Exception {
     LinkedBlockingQueue<Integer> receivedBy = new LinkedBlockingQueue<>();
-    try (ProxyFixture stage = new ProxyFixture(4)) {
-      stage.endpointsInOwnZone = 1;
-      stage.aim = LONG_OBJECTIVE;
+    try (ProxyFixture fixture = new ProxyFixture(4)) {
+      fixture.endpointsInOwnZone = 1;
+      fixture.aim = LONG_OBJECTIVE;
       // The first tier would reject requests that are expected to be late.
-      stage.tier = 1;
-      stage.start(LatencyWeightedPolicy::new);
-      for (int i = 0; i < stage.upstreams.size(); i++) {
-        receiveWithoutResponse(stage.upstreams.get(i), i, receivedBy);
+      fixture.tier = 1;
+      fixture.start(LatencyWeightedPolicy::new);
+      for (int i = 0; i < fixture.upstreams.size(); i++) {
+        receiveWithoutResponse(fixture.upstreams.get(i), i, receivedBy);
       }
-      int[] received = new int[stage.upstreams.size()];
+      int[] received = new int[fixture.upstreams.size()];
       for (int i = 0; i < REQUESTS; i++) {
-        stage.connectClient().write(ProxyFixture.atMostOnceRequest("c" + i, "x"));
+        fixture.connectClient().write(ProxyFixture.atMostOnceRequest("c" + i, "x"));
         received[ScriptedPolicy.takeNext(receivedBy)]++;
       }
       // The expected latency starts at a fifth of the objective, so 25 queued requests fill it.
@@ -80,19 +80,19 @@
   @Test
   void endpointThatFailsFastIsNotPreferredAsIdle() throws Exception {
     LinkedBlockingQueue<Integer> receivedBy = new LinkedBlockingQueue<>();
-    try (ProxyFixture stage = new ProxyFixture(6)) {
-      stage.endpointsInOwnZone = 1;
-      stage.aim = LONG_OBJECTIVE;
+    try (ProxyFixture fixture = new ProxyFixture(6)) {
+      fixture.endpointsInOwnZone = 1;
+      fixture.aim = LONG_OBJECTIVE;
       // The first tier would reject requests that are expected to be late.
-      stage.tier = 1;
-      stage.start(LatencyWeightedPolicy::new);
-      for (int i = 1; i < stage.upstreams.size(); i++) {
-        receiveWithoutResponse(stage.upstreams.get(i), i, receivedBy);
+      fixture.tier = 1;
+      fixture.start(LatencyWeightedPolicy::new);
+      for (int i = 1; i < fixture.upstreams.size(); i++) {
+        receiveWithoutResponse(fixture.upstreams.get(i), i, receivedBy);
       }
       daemon(
           () -> {
             while (true) {
-              HttpPeer peer = stage.upstreams.get(0).accept();
+              HttpPeer peer = fixture.upstreams.get(0).accept();
               daemon(
                   () -> {
                     while (peer.read() != null) {
@@ -104,7 +104,7 @@
           });
       int failed = 0;
       for (int i = 0; i < REQUESTS; i++) {
-        HttpPeer client = stage.connectClient();
+        HttpPeer client = fixture.connectClient();
         client.write(ProxyFixture.atMostOnceRequest("f" + i, "x"));
         if (ScriptedPolicy.takeNext(receivedBy) == 0) {
           failed++;
--- a/src/test/java/loadbalancer/proxy/DescriptorLimitTest.java
+++ b/src/test/java/loadbalancer/proxy/DescriptorLimitTest.java
@@ -18,10 +18,10 @@
   private static final int IDLE_CLIENTS = 2 * LIMIT;
 
   /** Connects more clients than there are descriptors; none of them sends a request. */
-  private static List<HttpPeer> connectIdleClients(InetSocketAddress node) throws IOException {
+  private static List<HttpPeer> connectIdleClients(InetSocketAddress proxy) throws IOException {
     List<HttpPeer> idle = new ArrayList<>();
     for (int i = 0; i < IDLE_CLIENTS; i++) {
-      idle.add(HttpPeer.connect(node));
+      idle.add(HttpPeer.connect(proxy));
     }
     return idle;
   }
@@ -46,8 +46,8 @@
   }
 
   private static void assertForwardedTo(
-      ScriptedListener upstream, String id, InetSocketAddress node) throws Exception {
-    try (HttpPeer client = HttpPeer.connect(node)) {
+      ScriptedListener upstream, String id, InetSocketAddress proxy) throws Exception {
+    try (HttpPeer client = HttpPeer.connect(proxy)) {
       client.write(ProxyFixture.idempotentRequest(id, "15"));
       HttpPeer attempt = upstream.accept();
       assertEquals(id, attempt.read().header("X-Txn"));
@@ -59,34 +59,36 @@
   @Test
   void idleClientsThatUseAllDescriptorsBlockNeitherDiscoveryNorAttempts() throws Exception {
     List<HttpPeer> idle = new ArrayList<>();
-    try (ProxyFixture stage = new ProxyFixture(2);
+    try (ProxyFixture fixture = new ProxyFixture(2);
         ScriptedListener second = new ScriptedListener()) {
-      stage.registryMode = "automatic";
-      stage.maxDescriptors = LIMIT;
+      fixture.registryMode = "automatic";
+      fixture.maxDescriptors = LIMIT;
       String[] up = new String[2];
       String[] draining = new String[2];
       for (int i = 0; i < 2; i++) {
-        up[i] = ProxyFixture.endpointEntry(i, stage.upstreams.get(i).address(), "up");
-        draining[i] = ProxyFixture.endpointEntry(i, stage.upstreams.get(i).address(), "draining");
+        up[i] = ProxyFixture.endpointEntry(i, fixture.upstreams.get(i).address(), "up");
+        draining[i] = ProxyFixture.endpointEntry(i, fixture.upstreams.get(i).address(), "draining");
       }
-      try (ProxyProcess node = ProxyProcess.startInShell(stage, "ulimit -n " + LIMIT + "; exec")) {
-        node.connect().close();
+      try (ProxyProcess proxy =
+          ProxyProcess.startInShell(fixture, "ulimit -n " + LIMIT + "; exec")) {
+        proxy.connect().close();
         // Idle clients arrive before discovery has responded.
-        idle.addAll(connectIdleClients(node.address));
+        idle.addAll(connectIdleClients(proxy.address));
         assertTrue(idle.get(0).isClosedByPeer());
-        idle.addAll(connectIdleClients(node.address));
+        idle.addAll(connectIdleClients(proxy.address));
         HttpPeer watch =
-            sendEndpointList(stage.discovery, ProxyFixture.endpointList(42, false, draining[0]));
-        assertForwardedTo(stage.upstreams.get(1), "first", node.address);
+            sendEndpointList(fixture.discovery, ProxyFixture.endpointList(42, false, draining[0]));
+        assertForwardedTo(fixture.upstreams.get(1), "first", proxy.address);
         // A new watch while the old connection is still open at discovery.
         watch.reset();
-        idle.addAll(connectIdleClients(node.address));
-        sendEndpointList(stage.discovery, ProxyFixture.endpointList(43, false, up[0], draining[1]));
-        assertForwardedTo(stage.upstreams.get(0), "second", node.address);
-        node.reload(node.config.replace(stage.discovery.address(), second.address()));
-        idle.addAll(connectIdleClients(node.address));
+        idle.addAll(connectIdleClients(proxy.address));
+        sendEndpointList(
+            fixture.discovery, ProxyFixture.endpointList(43, false, up[0], draining[1]));
+        assertForwardedTo(fixture.upstreams.get(0), "second", proxy.address);
+        proxy.reload(proxy.config.replace(fixture.discovery.address(), second.address()));
+        idle.addAll(connectIdleClients(proxy.address));
         sendEndpointList(second, ProxyFixture.endpointList(7, true, draining[0], up[1]));
-        assertForwardedTo(stage.upstreams.get(1), "third", node.address);
+        assertForwardedTo(fixture.upstreams.get(1), "third", proxy.address);
       }
     } finally {
       for (HttpPeer one : idle) {
--- a/src/test/java/loadbalancer/proxy/FullBacklogListener.java
+++ b/src/test/java/loadbalancer/proxy/FullBacklogListener.java
@@ -8,22 +8,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A listening socket whose queue is full: further connections hang until someone is accepted. */
+/** A listening socket with a full backlog: further connection attempts hang. */
 public final class FullBacklogListener implements AutoCloseable {
 
-  /**
-   * Connections that wait to be accepted, for which Linux takes one more than it is told. With only
-   * one or two, several that hang and try again at once make it answer them by SYN cookies. It then
-   * forgets a connection whose last packet finds the queue full, while the other end takes it to be
-   * up.
-   */
-  private static final int LENGTH = 8;
+  /** Long enough that Linux sends no SYN cookies, which make a client believe it is connected. */
+  private static final int BACKLOG = 8;
 
-  private final ServerSocket server = new ServerSocket(0, LENGTH, InetAddress.getLoopbackAddress());
+  private final ServerSocket server =
+      new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
   private final List<SocketChannel> filling = new ArrayList<>();
 
   public FullBacklogListener() throws Exception {
-    for (int i = 0; i <= LENGTH; i++) {
+    // Linux accepts one connection more than the backlog.
+    for (int i = 0; i <= BACKLOG; i++) {
       filling.add(SocketChannel.open(server.getLocalSocketAddress()));
     }
   }
@@ -32,15 +29,15 @@
     return "127.0.0.1:" + server.getLocalPort();
   }
 
-  /** Lets those in that fill the queue, then the next one that is none of them. */
+  /** Accepts the connections that fill the backlog, and returns the next one. */
   public HttpPeer acceptAfterBacklog() throws Exception {
-    List<Integer> own = new ArrayList<>();
+    List<Integer> fillingPorts = new ArrayList<>();
     for (SocketChannel channel : filling) {
-      own.add(((InetSocketAddress) channel.getLocalAddress()).getPort());
+      fillingPorts.add(((InetSocketAddress) channel.getLocalAddress()).getPort());
     }
     server.setSoTimeout(HttpPeer.TIMEOUT_MILLIS);
     HttpPeer next = new HttpPeer(server.accept());
-    while (own.contains(next.socket.getPort())) {
+    while (fillingPorts.contains(next.socket.getPort())) {
       next.close();
       next = new HttpPeer(server.accept());
     }
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -35,19 +35,19 @@
     assertExitsWithOneLine(2, null, "server");
     assertExitsWithOneLine(1, null, "serve");
     assertExitsWithOneLine(1, Path.of("no-such-file"), "serve");
-    Path file = Files.createTempFile("node", ".json");
-    try (ProxyFixture stage = new ProxyFixture()) {
+    Path file = Files.createTempFile("proxy", ".json");
+    try (ProxyFixture fixture = new ProxyFixture()) {
       for (String bad :
           new String[] {
             "",
             "{",
             "[]",
             "{\"listen\":\"nowhere\"}",
-            stage.config().replace("127.0.0.1:0", "127.0.0.1:notaport"),
-            stage.config().replace("\"aim\":1000.0", "\"aim\":\"soon\""),
-            stage.config().replace("8c1f30d27a5be964", "no number"),
-            stage.config().replace("\"up\"", "\"sideways\""),
-            stage.config().replace("127.0.0.1:0", stage.discovery.address())
+            fixture.config().replace("127.0.0.1:0", "127.0.0.1:notaport"),
+            fixture.config().replace("\"aim\":1000.0", "\"aim\":\"soon\""),
+            fixture.config().replace("8c1f30d27a5be964", "no number"),
+            fixture.config().replace("\"up\"", "\"sideways\""),
+            fixture.config().replace("127.0.0.1:0", fixture.discovery.address())
           }) {
         Files.writeString(file, bad);
         assertExitsWithOneLine(1, file, "serve");
@@ -59,21 +59,21 @@
 
   @Test
   void sigtermCompletesAcceptedRequests() throws Exception {
-    try (ProxyFixture stage = new ProxyFixture();
-        ProxyProcess proxy = ProxyProcess.start(stage)) {
+    try (ProxyFixture fixture = new ProxyFixture();
+        ProxyProcess proxy = ProxyProcess.start(fixture)) {
       HttpPeer accepted = proxy.connect();
       HttpPeer idle = HttpPeer.connect(proxy.address);
       idle.write(HEALTH);
       assertEquals("keep-alive", idle.read().headers().getOrDefault("connection", "keep-alive"));
-      accepted.write(ProxyFixture.idempotentRequest("taken", "10"));
-      HttpPeer upstream = stage.upstreams.get(0).accept();
+      accepted.write(ProxyFixture.idempotentRequest("accepted", "10"));
+      HttpPeer upstream = fixture.upstreams.get(0).accept();
       upstream.read();
       proxy.process.destroy();
       // A second SIGTERM, and a reload during the shutdown, change nothing.
       proxy.process.destroy();
       proxy.hangUp();
       idle.write(ProxyFixture.idempotentRequest("reused", "10"));
-      HttpPeer second = stage.upstreams.get(0).accept();
+      HttpPeer second = fixture.upstreams.get(0).accept();
       second.read();
       // A new client, a request on an existing connection, and one accepted before the signal.
       HttpPeer.Message late = null;
@@ -89,19 +89,19 @@
       assertEquals("reused", reused.body());
       assertEquals("close", reused.header("Connection"));
       assertTrue(idle.isClosedByPeer());
-      upstream.write(ProxyFixture.okResponse("taken"));
-      assertEquals("taken", accepted.read().body());
+      upstream.write(ProxyFixture.okResponse("accepted"));
+      assertEquals("accepted", accepted.read().body());
       assertTrue(proxy.process.waitFor(HttpPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     }
   }
 
   @Test
   void sighupReloadsTheConfigurationAndAnInvalidOneChangesNothing() throws Exception {
-    try (ProxyFixture stage = new ProxyFixture();
+    try (ProxyFixture fixture = new ProxyFixture();
         ScriptedListener second = new ScriptedListener();
-        ProxyProcess proxy = ProxyProcess.start(stage)) {
+        ProxyProcess proxy = ProxyProcess.start(fixture)) {
       HttpPeer client = proxy.connect();
-      stage.discovery.accept().read();
+      fixture.discovery.accept().read();
       proxy.reload("{");
       // The warning shows that the file has been read.
       assertTrue(
@@ -113,7 +113,7 @@
                   line ->
                       line.contains(
                           "configuration reload failed, keeping the current one: error=")));
-      proxy.reload(proxy.config.replace(stage.discovery.address(), second.address()));
+      proxy.reload(proxy.config.replace(fixture.discovery.address(), second.address()));
       assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().startLine());
       client.write(HEALTH);
       assertEquals(200, client.read().status());
@@ -129,28 +129,28 @@
             .orElseThrow();
     // Guards against a JVM that inherits an ignored SIGHUP: it would not install its handler.
     String commandPrefix = run.substring(run.indexOf('"') + 1, run.indexOf("java "));
-    try (ProxyFixture stage = new ProxyFixture();
+    try (ProxyFixture fixture = new ProxyFixture();
         ScriptedListener second = new ScriptedListener();
-        ProxyProcess proxy = ProxyProcess.startInShell(stage, "trap '' HUP; " + commandPrefix)) {
+        ProxyProcess proxy = ProxyProcess.startInShell(fixture, "trap '' HUP; " + commandPrefix)) {
       proxy.connect();
-      proxy.reload(proxy.config.replace(stage.discovery.address(), second.address()));
+      proxy.reload(proxy.config.replace(fixture.discovery.address(), second.address()));
       assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().startLine());
     }
   }
 
   @Test
   void gracefulShutdownServesClientsUntilItsClosingPhase() throws Exception {
-    try (ProxyFixture stage = new ProxyFixture().start()) {
+    try (ProxyFixture fixture = new ProxyFixture().start()) {
       Thread shutdown =
           new Thread(
               () -> {
                 try {
-                  stage.server.shutDownGracefully();
+                  fixture.server.shutDownGracefully();
                 } catch (InterruptedException e) {
                   Thread.currentThread().interrupt();
                 }
               });
-      HttpPeer client = stage.connectClient();
+      HttpPeer client = fixture.connectClient();
       client.write(HEALTH);
       client.read();
       shutdown.start();
@@ -167,12 +167,12 @@
 
   @Test
   void requestsUnfinishedAtTheEndOfAShutdownFail() throws Exception {
-    try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer client = stage.connectClient();
+    try (ProxyFixture fixture = new ProxyFixture().start()) {
+      HttpPeer client = fixture.connectClient();
       client.write(ProxyFixture.atMostOnceRequest("1", "x"));
-      HttpPeer upstream = stage.upstreams.get(0).accept();
+      HttpPeer upstream = fixture.upstreams.get(0).accept();
       upstream.read();
-      stage.server.shutDownGracefully();
+      fixture.server.shutDownGracefully();
       assertEquals(504, client.read().status());
       assertTrue(upstream.isClosedByPeer());
     }
@@ -180,19 +180,19 @@
 
   @Test
   void everyRequestReceivedByTheEndOfAShutdownGetsAResponse() throws Exception {
-    try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer client = stage.connectClient();
+    try (ProxyFixture fixture = new ProxyFixture().start()) {
+      HttpPeer client = fixture.connectClient();
       client.write(
           ProxyFixture.atMostOnceRequest("1", "x")
               + ProxyFixture.idempotentRequest("2", "10")
               + ProxyFixture.idempotentRequest("3", "10"));
-      HttpPeer upstream = stage.upstreams.get(0).accept();
+      HttpPeer upstream = fixture.upstreams.get(0).accept();
       upstream.read();
-      HttpPeer half = stage.connectClient();
+      HttpPeer half = fixture.connectClient();
       half.write("GET /look-up/7");
-      stage.server.onLoop(
+      fixture.server.onLoop(
           (frontend, upstreams) -> {
-            stage.server.forceShutdown();
+            fixture.server.forceShutdown();
             return null;
           });
       assertEquals(504, client.read().status());
@@ -205,31 +205,31 @@
       assertEquals(408, half.read().status());
       assertTrue(half.isClosedByPeer());
       // A connection opened after the end of the shutdown.
-      HttpPeer late = stage.connectClient();
+      HttpPeer late = fixture.connectClient();
       late.write(ProxyFixture.idempotentRequest("4", "10"));
       assertEquals(503, late.read().status());
-      assertEquals(0, stage.upstreams.get(0).pendingConnections());
+      assertEquals(0, fixture.upstreams.get(0).pendingConnections());
     }
   }
 
   @Test
   void requestsUnreadInTheKernelAtTheEndOfAShutdownGetAResponse() throws Exception {
-    try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer kept = stage.connectClient();
-      kept.write(HEALTH);
-      kept.read();
-      HttpPeer[] unread = {kept, null};
-      stage.server.onLoop(
+    try (ProxyFixture fixture = new ProxyFixture().start()) {
+      HttpPeer existing = fixture.connectClient();
+      existing.write(HEALTH);
+      existing.read();
+      HttpPeer[] unread = {existing, null};
+      fixture.server.onLoop(
           (frontend, upstreams) -> {
             try {
               // The event loop reads neither before the end of the shutdown begins.
-              kept.write(ProxyFixture.idempotentRequest("1", "10"));
-              unread[1] = stage.connectClient();
+              existing.write(ProxyFixture.idempotentRequest("1", "10"));
+              unread[1] = fixture.connectClient();
               unread[1].write(ProxyFixture.idempotentRequest("2", "10"));
             } catch (IOException e) {
               throw new java.io.UncheckedIOException(e);
             }
-            stage.server.forceShutdown();
+            fixture.server.forceShutdown();
             return null;
           });
       for (HttpPeer client : unread) {
@@ -243,9 +243,9 @@
 
   @Test
   void serverThatAcceptsNoClientsYetCanShutDown() throws Exception {
-    Path file = Files.createTempFile("node", ".json");
-    try (ProxyFixture stage = new ProxyFixture()) {
-      Files.writeString(file, stage.config());
+    Path file = Files.createTempFile("proxy", ".json");
+    try (ProxyFixture fixture = new ProxyFixture()) {
+      Files.writeString(file, fixture.config());
       ProxyServer server = ProxyServer.prepare(ProxyConfig.read(file.toString()));
       server.shutDownGracefully();
       server.kill();
@@ -256,14 +256,14 @@
 
   @Test
   void connectionWithARequestInFlightIsNotClosed() throws Exception {
-    try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer client = stage.connectClient();
+    try (ProxyFixture fixture = new ProxyFixture().start()) {
+      HttpPeer client = fixture.connectClient();
       client.write(HEALTH);
       client.read();
       client.write(ProxyFixture.idempotentRequest("1", "10"));
       // The request is unread in the kernel or in flight.
-      assertFalse(stage.server.closeIdleClientConnections());
-      HttpPeer upstream = stage.upstreams.get(0).accept();
+      assertFalse(fixture.server.closeIdleClientConnections());
+      HttpPeer upstream = fixture.upstreams.get(0).accept();
       upstream.read();
       upstream.write(ProxyFixture.okResponse("kept"));
       assertEquals("kept", client.read().body());
--- a/src/test/java/loadbalancer/proxy/HttpPeer.java
+++ b/src/test/java/loadbalancer/proxy/HttpPeer.java
@@ -10,10 +10,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One end of a plain HTTP/1.1 connection, with nothing between the test and the bytes. */
+/** One end of an HTTP/1.1 connection on a plain blocking socket. */
 public final class HttpPeer implements AutoCloseable {
 
-  /** A message as it came: its first line, its headers by lower-case name, its body. */
+  /** A request or response; the header names are in lower case. */
   public record Message(String startLine, Map<String, String> headers, String body) {
 
     public int status() {
@@ -41,7 +41,7 @@
     return new HttpPeer(new Socket(InetAddress.getLoopbackAddress(), address.getPort()));
   }
 
-  /** Connects as soon as the process serves. */
+  /** Connects once the process serves. */
   static HttpPeer connectWhenServing(InetSocketAddress address, Process process)
       throws IOException {
     while (true) {
@@ -54,7 +54,7 @@
         return peer;
       } catch (IOException e) {
         if (!process.isAlive()) {
-          throw new AssertionError("the node has ended", e);
+          throw new AssertionError("the process has ended", e);
         }
         Thread.onSpinWait();
       }
@@ -81,12 +81,12 @@
     return new Message(first, headers, new String(body, StandardCharsets.ISO_8859_1));
   }
 
-  /** How many bytes have come that were not read yet. */
+  /** The number of received bytes that are still unread. */
   public int unreadBytes() throws IOException {
     return in.available();
   }
 
-  /** Whether the other side has ended the connection; waits for that. */
+  /** Waits until the peer closes the connection; returns whether it did. */
   public boolean isClosedByPeer() {
     try {
       return in.read() < 0;
@@ -110,7 +110,7 @@
     return line.length() == 0 ? null : line.toString();
   }
 
-  /** Breaks the connection off with a reset. */
+  /** Closes the connection with a TCP reset. */
   public void reset() throws IOException {
     socket.setSoLinger(true, 0);
     socket.close();
--- a/src/test/java/loadbalancer/proxy/LateEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/LateEventLoopTest.java
@@ -42,8 +42,8 @@
   }
 
   /** Runs an action on the event loop, which handles no event meanwhile. */
-  private static void blockEventLoop(ProxyFixture stage, Action action) throws Exception {
-    stage.server.onLoop(
+  private static void blockEventLoop(ProxyFixture fixture, Action action) throws Exception {
+    fixture.server.onLoop(
         (frontend, upstreams) -> {
           try {
             action.run();
@@ -55,17 +55,17 @@
   }
 
   /** Starts a server whose discovery watch has no response yet. */
-  private static HttpPeer startWatching(ProxyFixture stage) throws Exception {
-    stage.policy.onStart = () -> stage.policy.actions.watchEndpoints(true);
-    stage.start();
-    assertEquals(EndpointUpdateType.CACHED, ScriptedPolicy.takeNext(stage.policy.updates));
-    HttpPeer watch = stage.discovery.accept();
+  private static HttpPeer startWatching(ProxyFixture fixture) throws Exception {
+    fixture.policy.onStart = () -> fixture.policy.actions.watchEndpoints(true);
+    fixture.start();
+    assertEquals(EndpointUpdateType.CACHED, ScriptedPolicy.takeNext(fixture.policy.updates));
+    HttpPeer watch = fixture.discovery.accept();
     watch.read();
     return watch;
   }
 
-  private static HttpPeer connectAndCheckHealth(ProxyFixture stage) throws Exception {
-    HttpPeer client = stage.connectClient();
+  private static HttpPeer connectAndCheckHealth(ProxyFixture fixture) throws Exception {
+    HttpPeer client = fixture.connectClient();
     client.write("GET /_health HTTP/1.1\r\n\r\n");
     client.read();
     return client;
@@ -73,17 +73,17 @@
 
   @Test
   void endpointUpdateIsHandledAheadOfRequestsThatArrivedBeforeIt() throws Exception {
-    try (ProxyFixture stage = new ProxyFixture(2)) {
-      HttpPeer watch = startWatching(stage);
-      HttpPeer client = connectAndCheckHealth(stage);
+    try (ProxyFixture fixture = new ProxyFixture(2)) {
+      HttpPeer watch = startWatching(fixture);
+      HttpPeer client = connectAndCheckHealth(fixture);
       LinkedBlockingQueue<Integer> updatesAtRequest = new LinkedBlockingQueue<>();
-      stage.policy.onRequest =
+      fixture.policy.onRequest =
           request -> {
-            updatesAtRequest.add(stage.policy.updates.size());
-            stage.policy.sendTo(1, request, 0);
+            updatesAtRequest.add(fixture.policy.updates.size());
+            fixture.policy.sendTo(1, request, 0);
           };
       blockEventLoop(
-          stage,
+          fixture,
           () -> {
             client.write(ProxyFixture.idempotentRequest("1", "10"));
             watch.write(
@@ -92,7 +92,7 @@
                         42,
                         false,
                         ProxyFixture.endpointEntry(
-                            0, stage.upstreams.get(0).address(), "draining"))));
+                            0, fixture.upstreams.get(0).address(), "draining"))));
             // Longer than a discovery response may stay unread.
             TimeUnit.MILLISECONDS.sleep(BLOCKED_MILLIS);
           });
@@ -107,17 +107,17 @@
   @ValueSource(booleans = {true, false})
   void deadlineCountsTheTimeThatARequestOrItsConnectionWaitedUnread(boolean keepAlive)
       throws Exception {
-    try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer known = connectAndCheckHealth(stage);
+    try (ProxyFixture fixture = new ProxyFixture().start()) {
+      HttpPeer known = connectAndCheckHealth(fixture);
       LinkedBlockingQueue<ClientRequest> requests = new LinkedBlockingQueue<>();
-      stage.policy.onRequest = requests::add;
+      fixture.policy.onRequest = requests::add;
       double[] writtenAt = new double[1];
       blockEventLoop(
-          stage,
+          fixture,
           () -> {
-            HttpPeer client = keepAlive ? known : stage.connectClient();
+            HttpPeer client = keepAlive ? known : fixture.connectClient();
             client.write(ProxyFixture.idempotentRequest("1", "10"));
-            writtenAt[0] = stage.server.now();
+            writtenAt[0] = fixture.server.now();
             TimeUnit.MILLISECONDS.sleep(BLOCKED_MILLIS);
           });
       double deadline = ScriptedPolicy.takeNext(requests).deadlineMillis();
@@ -129,13 +129,13 @@
 
   @Test
   void lateEventLoopReservesMoreOfTheDeadlineForTheResponse() throws Exception {
-    try (ProxyFixture stage = new ProxyFixture().start()) {
-      HttpPeer client = connectAndCheckHealth(stage);
+    try (ProxyFixture fixture = new ProxyFixture().start()) {
+      HttpPeer client = connectAndCheckHealth(fixture);
       LinkedBlockingQueue<ClientRequest> requests = new LinkedBlockingQueue<>();
-      stage.policy.onRequest = requests::add;
-      blockEventLoop(stage, () -> TimeUnit.MILLISECONDS.sleep(BLOCKED_MILLIS));
+      fixture.policy.onRequest = requests::add;
+      blockEventLoop(fixture, () -> TimeUnit.MILLISECONDS.sleep(BLOCKED_MILLIS));
       client.write(ProxyFixture.idempotentRequest("1", "2"));
-      double written = stage.server.now();
+      double written = fixture.server.now();
       double reservedMillis = written + 2_000 - ScriptedPolicy.takeNext(requests).deadlineMillis();
       assertTrue(reservedMillis >= BLOCKED_MILLIS - CLOCK_TOLERANCE_MILLIS, reservedMillis + " ms");
     }
@@ -152,12 +152,13 @@
   })
   void lateEventLoopLeavesMostOfTheDeadline(String remaining, double lateness, double left)
       throws Exception {
-    try (ProxyFixture stage = new ProxyFixture()) {
+    try (ProxyFixture fixture = new ProxyFixture()) {
       RequestValidator validator =
           new RequestValidator(
               ProxyConfig.parse(
                   JsonReader.read(
-                      new ByteArrayInputStream(stage.config().getBytes(StandardCharsets.UTF_8)))));
+                      new ByteArrayInputStream(
+                          fixture.config().getBytes(StandardCharsets.UTF_8)))));
       FullHttpRequest request =
           new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/look-up/7");
       request.headers().set("X-Txn", "1").set("X-Lane", "look-up").set("X-Remaining", remaining);
@@ -188,8 +189,8 @@
           }
         };
     ProxyLogger.LOGGER.addHandler(log);
-    try (ProxyFixture stage = new ProxyFixture().start()) {
-      blockEventLoop(stage, () -> TimeUnit.MILLISECONDS.sleep(BLOCKED_MILLIS));
+    try (ProxyFixture fixture = new ProxyFixture().start()) {
+      blockEventLoop(fixture, () -> TimeUnit.MILLISECONDS.sleep(BLOCKED_MILLIS));
       Matcher line =
           Pattern.compile("event loop late: iterations=\\d+ p50_ms=\\d+ p99_ms=\\d+ max_ms=(\\d+)")
               .matcher(ScriptedPolicy.takeNext(lines));
@@ -203,24 +204,24 @@
 
   @Test
   void drainGracePeriodCountsTheTimeThatTheUpdateWaitedUnread() throws Exception {
-    try (ProxyFixture stage = new ProxyFixture();
+    try (ProxyFixture fixture = new ProxyFixture();
         FullBacklogListener full = new FullBacklogListener()) {
-      stage.connectTimeoutMillis = 15_000;
+      fixture.connectTimeoutMillis = 15_000;
       // The update stays unread for longer than the part of the grace period that sending may use.
-      stage.drainGraceMillis = BLOCKED_MILLIS;
-      HttpPeer watch = startWatching(stage);
+      fixture.drainGraceMillis = BLOCKED_MILLIS;
+      HttpPeer watch = startWatching(fixture);
       watch.write(
           ProxyFixture.okResponse(
               ProxyFixture.endpointList(
                   42, true, ProxyFixture.endpointEntry(9, full.address(), "up"))));
-      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
+      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(fixture.policy.updates));
       watch.read();
-      HttpPeer client = connectAndCheckHealth(stage);
+      HttpPeer client = connectAndCheckHealth(fixture);
       client.write(ProxyFixture.atMostOnceRequest("1", "x"));
-      connectAndCheckHealth(stage);
+      connectAndCheckHealth(fixture);
       HttpPeer[] late = new HttpPeer[1];
       blockEventLoop(
-          stage,
+          fixture,
           () -> {
             watch.write(
                 ProxyFixture.okResponse(
@@ -230,7 +231,7 @@
             TimeUnit.MILLISECONDS.sleep(BLOCKED_MILLIS);
           });
       assertTrue(late[0].isClosedByPeer(), "the request was sent after the grace period");
-      assertEquals(AttemptOutcome.CONNECT_FAILED, stage.policy.nextOutcome());
+      assertEquals(AttemptOutcome.CONNECT_FAILED, fixture.policy.nextOutcome());
       late[0].close();
     }
   }
--- a/src/test/java/loadbalancer/proxy/ProxyFixture.java
+++ b/src/test/java/loadbalancer/proxy/ProxyFixture.java
@@ -11,9 +11,7 @@
 import loadbalancer.policy.PolicyActions;
 import loadbalancer.proxy.config.ProxyConfig;
 
-/**
- * A node on loopback addresses between listeners that the test plays upstreams and discovery on.
- */
+/** A proxy on a loopback address whose upstreams and discovery are played by the test. */
 public final class ProxyFixture implements AutoCloseable {
 
   public final ScriptedPolicy policy = new ScriptedPolicy();
@@ -21,46 +19,40 @@
   public final List<ScriptedListener> upstreams = new ArrayList<>();
   private final List<HttpPeer> clients = new ArrayList<>();
 
-  /** Settings that a test may change before it starts the node. */
+  // Settings that a test may change before it starts the proxy.
   public int maxDescriptors = 1_024;
 
   public int connectTimeoutMillis = 3_000;
   public int drainGraceMillis = 2_000;
 
-  /**
-   * How many of the upstreams, the first, are in the node's own zone; the others are of another
-   * type.
-   */
+  /** How many of the first upstreams are in the proxy's zone; others differ in machine type too. */
   int endpointsInOwnZone = Integer.MAX_VALUE;
 
-  /** How many of them the node knows from its start. */
+  /** How many of the first upstreams are in the configured endpoint list. */
   public int knownEndpoints = Integer.MAX_VALUE;
 
   public int pollIntervalMillis = 1_000;
   public int maxAttempts = 4;
 
-  /** The tier that it sends to; clients arrive at the first, 0. */
+  /** The tier of the proxy; clients connect to the first, 0. */
   int tier;
 
-  /** Whether news of the upstreams comes to the module only once it has asked. */
+  /** The registry mode; with "subscribe" the policy has to ask for updates. */
   public String registryMode = "subscribe";
 
-  /** How long the node waits for discovery's first answer before it lets callers in. */
+  /** How long the proxy waits for the first endpoint list before it accepts clients. */
   public long firstUpdateTimeoutMillis = ProxyServer.FIRST_UPDATE_TIMEOUT_MILLIS;
 
-  /**
-   * How long a connection to an upstream rests between two requests, in ms; none, so that one will
-   * do.
-   */
+  /** How long an upstream connection stays unused between requests; 0 lets a test reuse one. */
   public double settleMillis;
 
-  /** What a test changes of the configuration beyond that. */
+  /** Further changes of the configuration. */
   public UnaryOperator<String> configEdit = config -> config;
 
-  /** What its random numbers begin with. */
+  /** The seed of the policy, in hexadecimal. */
   public String seed = "8c1f30d27a5be964";
 
-  /** The aim of the class that must never run twice. */
+  /** The latency objective of the at-most-once class. */
   String aim = "\"aim\":1500.0";
 
   public ProxyServer server;
@@ -75,17 +67,19 @@
     }
   }
 
-  /** Starts the node with the scripted module. */
+  /** Starts the proxy with the scripted policy. */
   public ProxyFixture start() throws Exception {
     return start(policy::attach);
   }
 
-  public ProxyFixture start(Function<PolicyActions, LoadBalancingPolicy> module) throws Exception {
-    Path file = Files.createTempFile("node", ".json");
+  public ProxyFixture start(Function<PolicyActions, LoadBalancingPolicy> policyFactory)
+      throws Exception {
+    Path file = Files.createTempFile("proxy", ".json");
     try {
       Files.writeString(file, configEdit.apply(config()));
       server =
-          ProxyServer.prepare(ProxyConfig.read(file.toString()), module, firstUpdateTimeoutMillis);
+          ProxyServer.prepare(
+              ProxyConfig.read(file.toString()), policyFactory, firstUpdateTimeoutMillis);
       server.onLoop(
           (frontend, upstreams) -> {
             upstreams.settleFor(settleMillis);
@@ -157,14 +151,14 @@
         .replace("\"aim\":1500.0", aim);
   }
 
-  /** A new connection of a caller. */
+  /** Opens a client connection, which the fixture closes. */
   public HttpPeer connectClient() throws IOException {
-    HttpPeer caller = HttpPeer.connect(server.address());
-    clients.add(caller);
-    return caller;
+    HttpPeer client = HttpPeer.connect(server.address());
+    clients.add(client);
+    return client;
   }
 
-  /** A request of the class that is safe to repeat. */
+  /** A request of the idempotent class. */
   public static String idempotentRequest(String id, String remaining) {
     return "GET /look-up/7?z=3 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: "
         + id
@@ -173,7 +167,7 @@
         + "\r\n\r\n";
   }
 
-  /** A request of the class that must never run twice. */
+  /** A request of the at-most-once class. */
   public static String atMostOnceRequest(String id, String body) {
     return "POST /credit-spend HTTP/1.1\r\nHost: app.svc\r\nX-Txn: "
         + id
@@ -187,23 +181,23 @@
     return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
   }
 
-  /** Serves a request and asserts that the caller has its answer: the node is well. */
+  /** Asserts that a request gets its response. */
   public void assertStillServes() throws Exception {
-    HttpPeer caller = connectClient();
-    caller.write(idempotentRequest("still", "10"));
+    HttpPeer client = connectClient();
+    client.write(idempotentRequest("still", "10"));
     HttpPeer upstream = upstreams.get(0).accept();
     upstream.read();
     upstream.write(okResponse("well"));
-    HttpPeer.Message answer = caller.read();
-    if (answer == null || answer.status() != 200 || !answer.body().equals("well")) {
-      throw new AssertionError("not served: " + answer);
+    HttpPeer.Message response = client.read();
+    if (response == null || response.status() != 200 || !response.body().equals("well")) {
+      throw new AssertionError("not served: " + response);
     }
   }
 
   @Override
   public void close() throws IOException {
-    for (HttpPeer caller : clients) {
-      caller.close();
+    for (HttpPeer client : clients) {
+      client.close();
     }
     if (server != null) {
       server.kill();
--- a/src/test/java/loadbalancer/proxy/ProxyProcess.java
+++ b/src/test/java/loadbalancer/proxy/ProxyProcess.java
@@ -9,10 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * The program as a process of its own, and its configuration file; both are gone once this is
- * closed.
- */
+/** A process that serves, and its configuration file; closing this ends and deletes them. */
 final class ProxyProcess implements AutoCloseable {
 
   private static final String JAVA =
@@ -22,15 +19,15 @@
   final Process process;
   final InetSocketAddress address;
 
-  /** What it was configured with at its start. */
+  /** The configuration at its start. */
   final String config;
 
   private final Path file;
 
-  private ProxyProcess(ProxyFixture stage, ProcessBuilder command) throws IOException {
+  private ProxyProcess(ProxyFixture fixture, ProcessBuilder command) throws IOException {
     address = freeAddress();
-    config = stage.config().replace("127.0.0.1:0", "127.0.0.1:" + address.getPort());
-    file = Files.createTempFile("node", ".json");
+    config = fixture.config().replace("127.0.0.1:0", "127.0.0.1:" + address.getPort());
+    file = Files.createTempFile("proxy", ".json");
     Files.writeString(file, config);
     command.environment().put("PROXY_CONFIG", file.toString());
     process = command.redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
@@ -42,28 +39,31 @@
     }
   }
 
-  /**
-   * Starts it between the test's upstreams and discovery, with such flags for the virtual machine.
-   */
-  static ProxyProcess start(ProxyFixture stage, String... flags) throws IOException {
+  /** Starts the process with the upstreams and discovery of the fixture and the JVM flags. */
+  static ProxyProcess start(ProxyFixture fixture, String... flags) throws IOException {
     List<String> command = new ArrayList<>(List.of(JAVA));
     command.addAll(List.of(flags));
     command.addAll(List.of("-cp", CLASSES, Main.class.getName(), "serve"));
-    return new ProxyProcess(stage, new ProcessBuilder(command));
+    return new ProxyProcess(fixture, new ProcessBuilder(command));
   }
 
-  /** Likewise from a shell that does {@code before} first; what it writes is not kept. */
-  static ProxyProcess startInShell(ProxyFixture stage, String before) throws IOException {
+  /** Starts it from a shell that runs {@code commandPrefix} first; its output is not read. */
+  static ProxyProcess startInShell(ProxyFixture fixture, String commandPrefix) throws IOException {
     ProcessBuilder command =
         new ProcessBuilder(
             "/bin/sh",
             "-c",
-            before + " \"" + JAVA + "\" -cp \"$CLASSES\" " + Main.class.getName() + " serve");
+            commandPrefix
+                + " \""
+                + JAVA
+                + "\" -cp \"$CLASSES\" "
+                + Main.class.getName()
+                + " serve");
     command.environment().put("CLASSES", CLASSES);
-    return new ProxyProcess(stage, command.redirectErrorStream(true));
+    return new ProxyProcess(fixture, command.redirectErrorStream(true));
   }
 
-  /** Starts the program with these arguments; {@code config} names its configuration, null none. */
+  /** Starts the command line; {@code config} is its configuration file, null for none. */
   static Process startWith(Path config, String... arguments) throws IOException {
     List<String> command = new ArrayList<>(List.of(JAVA, "-cp", CLASSES, Main.class.getName()));
     command.addAll(List.of(arguments));
@@ -75,12 +75,12 @@
     return builder.redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
   }
 
-  /** A connection to it, on which it has said that it serves. */
+  /** Connects once the process serves. */
   HttpPeer connect() throws IOException {
     return HttpPeer.connectWhenServing(address, process);
   }
 
-  /** Replaces its configuration and tells it so. */
+  /** Replaces the configuration file and sends SIGHUP. */
   void reload(String changed) throws IOException, InterruptedException {
     Files.writeString(file, changed);
     hangUp();
--- a/src/test/java/loadbalancer/proxy/ScriptedListener.java
+++ b/src/test/java/loadbalancer/proxy/ScriptedListener.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Listens on a port of its own and hands each connection to the test, which plays the server. */
+/** A listening socket whose accepted connections are handed to the test. */
 public final class ScriptedListener implements AutoCloseable {
 
   private final ServerSocket server;
-  private final java.net.Socket kept = new java.net.Socket();
+  private final java.net.Socket boundPort = new java.net.Socket();
   private final LinkedBlockingQueue<HttpPeer> accepted = new LinkedBlockingQueue<>();
   private final Thread acceptor;
 
@@ -19,11 +19,11 @@
     this(0);
   }
 
-  /** With a receive buffer of a size, 0 for the system's choice. */
-  public ScriptedListener(int receiveBuffer) throws IOException {
+  /** Creates a listener with a receive buffer of the given size; 0 for the default. */
+  public ScriptedListener(int receiveBufferBytes) throws IOException {
     server = new ServerSocket();
-    if (receiveBuffer > 0) {
-      server.setReceiveBufferSize(receiveBuffer);
+    if (receiveBufferBytes > 0) {
+      server.setReceiveBufferSize(receiveBufferBytes);
     }
     server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64);
     acceptor =
@@ -49,21 +49,17 @@
   public HttpPeer accept() throws InterruptedException {
     HttpPeer peer = accepted.poll(HttpPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     if (peer == null) {
-      throw new AssertionError("no connection came");
+      throw new AssertionError("no connection was accepted");
     }
     return peer;
   }
 
-  /** How many connections have come that the test has not looked at. */
+  /** The number of accepted connections that the test has not taken yet. */
   public int pendingConnections() {
     return accepted.size();
   }
 
-  /**
-   * Keeps the port, with nobody listening: a connection could else be given it and meet itself
-   * there. The thread that waits in accept() may let one more in after close() has returned, if it
-   * is slow to wake.
-   */
+  /** Keeps the port bound: a client could otherwise be assigned it and connect to itself. */
   @Override
   public void close() throws IOException {
     server.close();
@@ -73,10 +69,10 @@
       Thread.currentThread().interrupt();
     }
     try {
-      kept.setReuseAddress(true);
-      kept.bind(server.getLocalSocketAddress());
+      boundPort.setReuseAddress(true);
+      boundPort.bind(server.getLocalSocketAddress());
     } catch (IOException e) {
-      // Closed before, or somebody has it already.
+      // Closed before, or the port is in use already.
     }
   }
 }
--- a/src/test/java/loadbalancer/proxy/ScriptedPolicy.java
+++ b/src/test/java/loadbalancer/proxy/ScriptedPolicy.java
@@ -14,22 +14,22 @@
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.PolicyActions;
 
-/** A module that does what the test says, and remembers what its host told it. */
+/** A policy whose reactions the test sets, and which records its events. */
 public final class ScriptedPolicy implements LoadBalancingPolicy {
 
   public PolicyActions actions;
   public volatile List<Endpoint> endpoints = List.of();
 
-  /** What to do with a request; by default it goes to the first upstream until its deadline. */
+  /** The reaction to a request; by default one attempt at the first upstream. */
   public volatile Consumer<ClientRequest> onRequest = request -> sendTo(0, request, 0);
 
-  public volatile Consumer<AttemptResult> onResult = outcome -> {};
+  public volatile Consumer<AttemptResult> onResult = result -> {};
 
-  /** What to do with an outcome that leaves its request open; by default it fails. */
+  /** The reaction to a result that leaves its request open; by default the request fails. */
   public volatile BiConsumer<PolicyActions, AttemptResult> onUnansweredResult =
-      (to, outcome) -> to.failRequest(outcome.requestId());
+      (actions, result) -> actions.failRequest(result.requestId());
 
-  /** What to do with news; by default no more than remember it. */
+  /** The reaction to an endpoint update; none by default. */
   public volatile Consumer<EndpointUpdateType> onUpdate = change -> {};
 
   public volatile Runnable onTimer = () -> {};
@@ -39,20 +39,20 @@
   public final LinkedBlockingQueue<Long> disconnected = new LinkedBlockingQueue<>();
   public final LinkedBlockingQueue<String> healthChecks = new LinkedBlockingQueue<>();
 
-  LoadBalancingPolicy attach(PolicyActions given) {
-    actions = given;
+  LoadBalancingPolicy attach(PolicyActions policyActions) {
+    actions = policyActions;
     return this;
   }
 
-  /** Sends a request to an upstream by its place in the list. */
-  public void sendTo(int place, ClientRequest request, double timeout) {
-    actions.sendAttempt(request.id(), endpoints.get(place).id(), timeout);
+  /** Sends a request to an upstream by its index in the endpoint list. */
+  public void sendTo(int index, ClientRequest request, double timeout) {
+    actions.sendAttempt(request.id(), endpoints.get(index).id(), timeout);
   }
 
   public static <T> T takeNext(LinkedBlockingQueue<T> queue) throws InterruptedException {
     T item = queue.poll(HttpPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     if (item == null) {
-      throw new AssertionError("nothing came");
+      throw new AssertionError("nothing was queued");
     }
     return item;
   }
@@ -81,17 +81,17 @@
   }
 
   @Override
-  public void attemptFinished(double now, AttemptResult outcome) {
-    results.add(outcome);
-    onResult.accept(outcome);
-    if (!outcome.requestClosed()) {
-      onUnansweredResult.accept(actions, outcome);
+  public void attemptFinished(double now, AttemptResult result) {
+    results.add(result);
+    onResult.accept(result);
+    if (!result.requestClosed()) {
+      onUnansweredResult.accept(actions, result);
     }
   }
 
   @Override
   public void responseStarted(double now, long requestId, int attempt, double elapsed) {
-    throw new AssertionError("nothing is streamed here");
+    throw new AssertionError("no response is streamed");
   }
 
   @Override
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -26,13 +26,18 @@
   /** The names of the classes that a process has loaded once it serves. */
   private static List<String> classesLoadedAtStart() throws Exception {
     Path log = Files.createTempFile("classes", ".log");
-    try (ProxyFixture stage = new ProxyFixture(2);
-        ProxyProcess node =
+    try (ProxyFixture fixture = new ProxyFixture(2);
+        ProxyProcess proxy =
             ProxyProcess.start(
-                stage, "-Xlog:class+load:file=" + log + ":none", "-Dio.netty.jfr.enabled=false")) {
-      stage.discovery.accept().write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
-      node.connect().close();
-      node.process.destroyForcibly().waitFor();
+                fixture,
+                "-Xlog:class+load:file=" + log + ":none",
+                "-Dio.netty.jfr.enabled=false")) {
+      fixture
+          .discovery
+          .accept()
+          .write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
+      proxy.connect().close();
+      proxy.process.destroyForcibly().waitFor();
       try (Stream<String> lines = Files.lines(log)) {
         return lines.map(line -> line.split(" ")[0]).toList();
       }
--- a/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
@@ -16,23 +16,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bounds of waits and the durations of iterations, on a clock that the test moves. */
+/** Bounds of waits and durations of iterations, on a clock that the test advances. */
 class EventLoopMonitorTest {
 
   private long now = TimeUnit.SECONDS.toNanos(7);
   private final EventLoopMonitor monitor = new EventLoopMonitor(() -> now);
   private boolean ready;
   private long selectMillis;
-  private final IoHandler handler = monitor.wrap(executor -> new Selecting()).newHandler(null);
+  private final IoHandler handler = monitor.wrap(executor -> new FakeHandler()).newHandler(null);
 
-  private void pass(long millis) {
+  private void advance(long millis) {
     now += TimeUnit.MILLISECONDS.toNanos(millis);
   }
 
-  /**
-   * Waits {@code select} ms for events, or 0 if some are ready, and handles them for {@code work}
-   * ms.
-   */
+  /** Blocks for {@code select} ms unless that is 0, then handles events for {@code work} ms. */
   private void iterate(long select, long work) {
     iterate(select == 0, select, work);
   }
@@ -41,16 +38,16 @@
     ready = someReady;
     selectMillis = select;
     handler.run(new Context());
-    pass(work);
+    advance(work);
   }
 
   @Test
   void waitIsBoundedByThePreviousReturnOfTheSelector() {
     iterate(10, 0);
-    pass(300);
+    advance(300);
     iterate(0, 0);
     assertEquals(300, monitor.longestWaitMillis());
-    pass(40);
+    advance(40);
     assertEquals(340, monitor.longestWaitMillis());
     iterate(0, 0);
     assertEquals(40, monitor.longestWaitMillis());
@@ -63,7 +60,7 @@
     assertEquals(304, monitor.longestWaitMillis());
     iterate(25, 0);
     assertEquals(0, monitor.longestWaitMillis());
-    pass(5);
+    advance(5);
     assertEquals(5, monitor.longestWaitMillis());
   }
 
@@ -115,11 +112,8 @@
     assertEquals(new EventLoopMonitor.Report(1, 0, 0, 0), monitor.report());
   }
 
-  /**
-   * The iterations that a loop takes for timers, one after another, each so many microseconds
-   * later.
-   */
-  private static long iterationsFor(int timers, long micros) throws Exception {
+  /** The number of iterations for successive timers with the given delay. */
+  private static long iterationsForTimers(int timers, long micros) throws Exception {
     EventLoopMonitor watching = new EventLoopMonitor(System::nanoTime);
     EventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, watching.wrap(NioIoHandler.newFactory()));
@@ -139,22 +133,19 @@
   @ValueSource(longs = {300, 1_300})
   void eventLoopDoesNotSpinUntilATimerIsDue(long micros) throws Exception {
     int timers = 200;
-    long iterations = iterationsFor(timers, micros);
-    // To set it wakes the loop up, it is due, and it may be found to be due a little early.
+    long iterations = iterationsForTimers(timers, micros);
+    // A timer wakes the loop when it is set and when it is due, and may be found due too early.
     assertTrue(iterations <= 4L * timers, iterations + " iterations for " + timers + " timers");
   }
 
-  /**
-   * As the handlers of Netty: waits only if it may, asks whether to measure the time as soon as the
-   * selector has returned, and tells how many events it has handled.
-   */
-  private final class Selecting implements IoHandler {
+  /** Calls its context in the order in which Netty's handlers do. */
+  private final class FakeHandler implements IoHandler {
 
     @Override
     public int run(IoHandlerContext context) {
       boolean returns = ready || context.canBlock();
       if (returns) {
-        pass(selectMillis);
+        advance(selectMillis);
       }
       context.shouldReportActiveIoTime();
       return returns ? 1 : 0;
