--- a/src/test/java/loadbalancer/proxy/ScriptedListener.java
+++ b/src/test/java/loadbalancer/proxy/ScriptedListener.java
@@ -63,6 +63,7 @@
   @Override
   public void close() throws IOException {
     server.close();
+    // accept() may still return a connection after close(), until its thread has ended.
     try {
       acceptor.join();
     } catch (InterruptedException e) {
