--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -37,28 +37,28 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The list and the watch, and what becomes of answers that are of no use. */
+/** The watch, the fetch of the full list, and their failures, against a scripted discovery. */
 @Timeout(60)
 class DiscoveryClientTest {
 
   private static final Pattern WATCH =
       Pattern.compile("GET /catalog/members\\?index=(?<version>\\d+)&wait=(?<wait>\\d+) HTTP/1.1");
 
-  /** Far longer than any call may take, and shorter than a test waits. */
-  private static final long TIME_UP_MS = 15_000;
+  /** Longer than any call may take, and shorter than the timeout of a test. */
+  private static final long WATCH_LIMIT_MILLIS = 15_000;
 
-  private final ProxyFixture stage = new ProxyFixture();
+  private final ProxyFixture fixture = new ProxyFixture();
 
   DiscoveryClientTest() throws IOException {
-    stage.policy.onStart = () -> stage.policy.actions.watchEndpoints(true);
+    fixture.policy.onStart = () -> fixture.policy.actions.watchEndpoints(true);
   }
 
   private void started() throws Exception {
-    stage.start();
-    assertEquals(EndpointUpdateType.CACHED, ScriptedPolicy.takeNext(stage.policy.updates));
+    fixture.start();
+    assertEquals(EndpointUpdateType.CACHED, ScriptedPolicy.takeNext(fixture.policy.updates));
   }
 
-  /** Reads a watch's call, which goes on from the given version; how long it is to wait, in ms. */
+  /** Reads a watch request for changes after a version, and returns its wait in milliseconds. */
   private static int assertWatches(long version, HttpPeer watch) throws IOException {
     Matcher call = WATCH.matcher(watch.read().startLine());
     assertTrue(call.matches());
@@ -67,55 +67,55 @@
   }
 
   @Test
-  void aWatchGoesOnFromWhatItWasTold() throws Exception {
-    try (stage) {
+  void watchContinuesFromTheLastVersion() throws Exception {
+    try (fixture) {
       started();
-      HttpPeer watch = stage.discovery.accept();
+      HttpPeer watch = fixture.discovery.accept();
       assertWatches(41, watch);
       watch.write(
           ProxyFixture.okResponse(
               ProxyFixture.endpointList(
                   45, false, ProxyFixture.endpointEntry(0, "127.0.0.1:1", "draining"))));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(stage.policy.updates));
+      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(fixture.policy.updates));
       assertWatches(45, watch);
       watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(46, false)));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(stage.policy.updates));
+      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(fixture.policy.updates));
       assertWatches(46, watch);
       watch.write(
           ProxyFixture.okResponse(
               ProxyFixture.endpointList(
                   47, false, "{\"id\":\"s-00000000\",\"state\":\"removed\"}")));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(stage.policy.updates));
+      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(fixture.policy.updates));
       assertWatches(47, watch);
     }
   }
 
   @Test
-  void newsComesToAModuleThatNeedNotAskForIt() throws Exception {
-    try (stage) {
-      stage.registryMode = "automatic";
-      stage.start(LatencyWeightedPolicy::new);
-      HttpPeer watch = stage.discovery.accept();
+  void updatesReachAPolicyThatDoesNotWatchItself() throws Exception {
+    try (fixture) {
+      fixture.registryMode = "automatic";
+      fixture.start(LatencyWeightedPolicy::new);
+      HttpPeer watch = fixture.discovery.accept();
       assertWatches(41, watch);
       watch.write(
           ProxyFixture.okResponse(
               ProxyFixture.endpointList(
                   42,
                   false,
-                  ProxyFixture.endpointEntry(0, stage.upstreams.get(0).address(), "draining"))));
-      // It has been taken in once the next call is out, and is asked for again after a failure.
+                  ProxyFixture.endpointEntry(0, fixture.upstreams.get(0).address(), "draining"))));
+      // The next call shows that the update was applied. After a failure it is repeated.
       assertWatches(42, watch);
       watch.reset();
-      assertWatches(42, stage.discovery.accept());
-      HttpPeer caller = stage.connectClient();
-      caller.write(ProxyFixture.idempotentRequest("drained", "0.5"));
-      assertEquals(503, caller.read().status());
-      assertEquals(0, stage.upstreams.get(0).pendingConnections());
+      assertWatches(42, fixture.discovery.accept());
+      HttpPeer client = fixture.connectClient();
+      client.write(ProxyFixture.idempotentRequest("drained", "0.5"));
+      assertEquals(503, client.read().status());
+      assertEquals(0, fixture.upstreams.get(0).pendingConnections());
     }
   }
 
   @Test
-  void aSilentWatchIsBegunAnewOnceTheServersItNamedTakeNothing() throws Exception {
+  void watchIsRestartedWhenTheListedEndpointsAreUnreachable() throws Exception {
     try (ProxyFixture two = new ProxyFixture(2)) {
       two.upstreams.get(0).close();
       two.knownEndpoints = 1;
@@ -124,10 +124,10 @@
       two.start(LatencyWeightedPolicy::new);
       HttpPeer silent = two.discovery.accept();
       assertWatches(41, silent);
-      HttpPeer caller = two.connectClient();
-      caller.write(ProxyFixture.idempotentRequest("d1", "5"));
-      assertEquals(503, caller.read().status());
-      // Nobody waits for the old one any more, and what it missed is asked for.
+      HttpPeer client = two.connectClient();
+      client.write(ProxyFixture.idempotentRequest("d1", "5"));
+      assertEquals(503, client.read().status());
+      // The old watch is closed, and the new one covers what it missed.
       HttpPeer watch = two.discovery.accept();
       assertWatches(41, watch);
       assertTrue(silent.isClosedByPeer());
@@ -139,11 +139,11 @@
                   "{\"id\":\"s-00000000\",\"state\":\"removed\"}",
                   ProxyFixture.endpointEntry(1, two.upstreams.get(1).address(), "up"))));
       assertWatches(42, watch);
-      caller.write(ProxyFixture.idempotentRequest("d2", "5"));
+      client.write(ProxyFixture.idempotentRequest("d2", "5"));
       HttpPeer upstream = two.upstreams.get(1).accept();
       upstream.read();
       upstream.write(ProxyFixture.okResponse("served"));
-      assertEquals(200, caller.read().status());
+      assertEquals(200, client.read().status());
     }
   }
 
@@ -158,29 +158,29 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
         "HTTP/1.1 200 OK\r\nContent-Length: 28\r\n\r\n{\"version\":50,\"servers\":[{}]}"
       })
-  void anAnswerOfNoUseIsAFailureAndTheOldListHolds(String answer) throws Exception {
-    try (stage) {
+  void invalidResponseIsAFailureAndTheKnownListStaysInUse(String answer) throws Exception {
+    try (fixture) {
       started();
-      HttpPeer watch = stage.discovery.accept();
+      HttpPeer watch = fixture.discovery.accept();
       watch.read();
       watch.write(answer);
       watch.close();
-      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(stage.policy.updates));
-      stage.assertStillServes();
-      // One failure for one call, and the module can ask again from where it was.
-      assertTrue(stage.policy.updates.isEmpty());
-      stage.policy.onRequest =
+      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(fixture.policy.updates));
+      fixture.assertStillServes();
+      // One call is one failure, and the policy can continue from the known version.
+      assertTrue(fixture.policy.updates.isEmpty());
+      fixture.policy.onRequest =
           request -> {
-            stage.policy.actions.reject(request.id(), 0);
-            stage.policy.actions.watchEndpoints(true);
+            fixture.policy.actions.reject(request.id(), 0);
+            fixture.policy.actions.watchEndpoints(true);
           };
-      stage.connectClient().write(ProxyFixture.idempotentRequest("again", "10"));
-      assertWatches(41, stage.discovery.accept());
+      fixture.connectClient().write(ProxyFixture.idempotentRequest("again", "10"));
+      assertWatches(41, fixture.discovery.accept());
     }
   }
 
   @Test
-  void aListThatBreaksOffLeavesAllSixtyUpstreamsInUse() throws Exception {
+  void truncatedListLeavesAllSixtyEndpointsInUse() throws Exception {
     try (ProxyFixture many = new ProxyFixture(60)) {
       many.policy.onStart = () -> many.policy.actions.watchEndpoints(true);
       many.start();
@@ -199,46 +199,46 @@
       watch.write(fewer.substring(0, fewer.length() / 2));
       watch.close();
       assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(many.policy.updates));
-      HttpPeer caller = many.connectClient();
+      HttpPeer client = many.connectClient();
       for (int i = 0; i < 60; i++) {
         int place = i;
         many.policy.onRequest = request -> many.policy.sendTo(place, request, 0);
-        caller.write(ProxyFixture.idempotentRequest("still" + i, "10"));
+        client.write(ProxyFixture.idempotentRequest("still" + i, "10"));
         HttpPeer upstream = many.upstreams.get(i).accept();
         upstream.read();
         upstream.write(ProxyFixture.okResponse("well"));
-        assertEquals(200, caller.read().status());
+        assertEquals(200, client.read().status());
       }
       assertTrue(many.policy.updates.isEmpty());
     }
   }
 
   @Test
-  void anIndentedListIsReadLikeAnyOther() throws Exception {
-    try (stage) {
+  void indentedListIsAccepted() throws Exception {
+    try (fixture) {
       started();
-      HttpPeer watch = stage.discovery.accept();
+      HttpPeer watch = fixture.discovery.accept();
       watch.read();
       String plain =
           ProxyFixture.endpointList(
-              45, true, ProxyFixture.endpointEntry(0, stage.upstreams.get(0).address(), "up"));
+              45, true, ProxyFixture.endpointEntry(0, fixture.upstreams.get(0).address(), "up"));
       watch.write(
           ProxyFixture.okResponse(
               new JsonMapper()
                   .writerWithDefaultPrettyPrinter()
                   .writeValueAsString(new JsonMapper().readTree(plain))
                   .replace("\n", "\r\n\t")));
-      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
+      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(fixture.policy.updates));
       assertWatches(45, watch);
-      stage.assertStillServes();
+      fixture.assertStillServes();
     }
   }
 
   @Test
-  void aListWithoutEndIsAFailureAndTheOldOneHolds() throws Exception {
-    try (stage) {
+  void endlessResponseIsAFailureAndTheKnownListStaysInUse() throws Exception {
+    try (fixture) {
       started();
-      HttpPeer watch = stage.discovery.accept();
+      HttpPeer watch = fixture.discovery.accept();
       watch.read();
       watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
       String chunk = "10000\r\n" + " ".repeat(0x10000) + "\r\n";
@@ -247,54 +247,54 @@
           watch.write(chunk);
         }
       } catch (IOException e) {
-        // It is not listened to any more.
+        // The client has closed the connection.
       }
-      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(stage.policy.updates));
-      stage.assertStillServes();
-      assertTrue(stage.policy.updates.isEmpty());
+      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(fixture.policy.updates));
+      fixture.assertStillServes();
+      assertTrue(fixture.policy.updates.isEmpty());
     }
   }
 
   @Test
-  void aDiscoveryThatIsDownIsAFailure() throws Exception {
-    try (stage) {
-      stage.discovery.close();
+  void refusedConnectionIsAFailure() throws Exception {
+    try (fixture) {
+      fixture.discovery.close();
       started();
-      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(stage.policy.updates));
+      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(fixture.policy.updates));
     }
   }
 
   @Test
-  void theModuleAsksAgainAfterAFailure() throws Exception {
-    try (stage) {
-      stage.start(loadbalancer.policy.LatencyWeightedPolicy::new);
-      stage.discovery.accept().reset();
-      assertWatches(41, stage.discovery.accept());
+  void policyRestartsTheWatchAfterAFailure() throws Exception {
+    try (fixture) {
+      fixture.start(loadbalancer.policy.LatencyWeightedPolicy::new);
+      fixture.discovery.accept().reset();
+      assertWatches(41, fixture.discovery.accept());
     }
   }
 
   /**
-   * A discovery's caller on its own, which tells what it is told, by {@code LATE} that time is up
-   * and by {@code ROOM} that it wants descriptors freed.
+   * A discovery client without a proxy. It records the types of its updates, {@code WATCH_LATE}
+   * when a watch has taken too long, and {@code FREE_DESCRIPTORS} when descriptors are to be freed.
    */
-  private static final class Lone implements AutoCloseable {
+  private static final class StandaloneClient implements AutoCloseable {
 
-    private static final String LATE = "LATE";
-    private static final String ROOM = "ROOM";
+    private static final String WATCH_LATE = "WATCH_LATE";
+    private static final String FREE_DESCRIPTORS = "FREE_DESCRIPTORS";
 
     private final EventLoop loop =
         (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-    private final LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<String> events = new LinkedBlockingQueue<>();
     private final DiscoveryClient discovery;
 
-    /** Where its sockets come from; changed on the loop only, once the client is in use. */
+    /** Creates the sockets; changed on the loop only, once the client is in use. */
     private ChannelFactory<Channel> channelFactory = NioSocketChannel::new;
 
-    /** Its watches wait for at most so long, in ms. */
-    Lone(ProxyFixture stage, String address, int watchMillis) throws Exception {
+    /** Creates a client of the discovery at an address. */
+    StandaloneClient(ProxyFixture fixture, String address, int watchMillis) throws Exception {
       Path file = Files.createTempFile("node", ".json");
       try {
-        Files.writeString(file, stage.config().replace(stage.discovery.address(), address));
+        Files.writeString(file, fixture.config().replace(fixture.discovery.address(), address));
         discovery =
             new DiscoveryClient(
                 ProxyConfig.read(file.toString()).discoverySettings(),
@@ -302,20 +302,20 @@
                     loop,
                     ByteBufAllocator.DEFAULT,
                     () -> channelFactory.newChannel(),
-                    () -> told.add(ROOM)),
-                (type, update) -> told.add(type.name()),
+                    () -> events.add(FREE_DESCRIPTORS)),
+                (type, update) -> events.add(type.name()),
                 watchMillis);
       } finally {
         Files.delete(file);
       }
     }
 
-    /** Watches, with so many ms to do so: the loop rings in the order of time, however late. */
+    /** Begins a watch and records {@code WATCH_LATE} after a time; the loop keeps their order. */
     void watch(long time) {
       loop.execute(
           () -> {
             discovery.watch(true);
-            loop.schedule(() -> told.add(LATE), time, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> events.add(WATCH_LATE), time, TimeUnit.MILLISECONDS);
           });
     }
 
@@ -326,127 +326,135 @@
   }
 
   @Test
-  void aSilentDiscoveryIsAFailureOnceItsWaitIsOver() throws Exception {
-    try (stage;
-        Lone lone = new Lone(stage, stage.discovery.address(), 100)) {
-      lone.watch(TIME_UP_MS);
-      HttpPeer watch = stage.discovery.accept();
+  void missingResponseIsAFailureAfterTheWait() throws Exception {
+    try (fixture;
+        StandaloneClient standalone =
+            new StandaloneClient(fixture, fixture.discovery.address(), 100)) {
+      standalone.watch(WATCH_LIMIT_MILLIS);
+      HttpPeer watch = fixture.discovery.accept();
       int wait = assertWatches(41, watch);
       assertTrue(wait >= 50 && wait <= 100);
       assertTrue(watch.isClosedByPeer());
-      assertEquals("FAILED", ScriptedPolicy.takeNext(lone.told));
+      assertEquals("FAILED", ScriptedPolicy.takeNext(standalone.events));
     }
   }
 
   @Test
-  void aCallAfterAFailureIsWaitedForWhereDiscoveryIsSlow() throws Exception {
-    try (stage;
-        Lone lone = new Lone(stage, stage.discovery.address(), 20_000)) {
-      lone.watch(TIME_UP_MS);
-      HttpPeer refused = stage.discovery.accept();
+  void callAfterAFailureHasTheFullTimeout() throws Exception {
+    try (fixture;
+        StandaloneClient standalone =
+            new StandaloneClient(fixture, fixture.discovery.address(), 20_000)) {
+      standalone.watch(WATCH_LIMIT_MILLIS);
+      HttpPeer refused = fixture.discovery.accept();
       refused.read();
       refused.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-      assertEquals("FAILED", ScriptedPolicy.takeNext(lone.told));
-      lone.watch(1_500);
-      HttpPeer slow = stage.discovery.accept();
+      assertEquals("FAILED", ScriptedPolicy.takeNext(standalone.events));
+      standalone.watch(1_500);
+      HttpPeer slow = fixture.discovery.accept();
       slow.read();
-      // Many others are served first; to give up now and ask again would only add to them.
-      assertEquals(Lone.LATE, ScriptedPolicy.takeNext(lone.told));
-      String entry = ProxyFixture.endpointEntry(0, stage.upstreams.get(0).address(), "up");
+      // A discovery under load must not get a second call before the first has timed out.
+      assertEquals(StandaloneClient.WATCH_LATE, ScriptedPolicy.takeNext(standalone.events));
+      String entry = ProxyFixture.endpointEntry(0, fixture.upstreams.get(0).address(), "up");
       slow.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, true, entry)));
-      assertEquals("FULL", ScriptedPolicy.takeNext(lone.told));
+      assertEquals("FULL", ScriptedPolicy.takeNext(standalone.events));
     }
   }
 
   @Test
-  void aConnectionToDiscoveryThatNeverComesUpIsAFailureAfterASecond() throws Exception {
-    try (stage;
+  void connectTimeoutIsAFailureAfterOneSecond() throws Exception {
+    try (fixture;
         FullBacklogListener full = new FullBacklogListener();
-        Lone lone = new Lone(stage, full.address(), DiscoveryClient.MAX_WATCH_MILLIS)) {
-      lone.watch(TIME_UP_MS);
-      assertEquals("FAILED", ScriptedPolicy.takeNext(lone.told));
+        StandaloneClient standalone =
+            new StandaloneClient(fixture, full.address(), DiscoveryClient.MAX_WATCH_MILLIS)) {
+      standalone.watch(WATCH_LIMIT_MILLIS);
+      assertEquals("FAILED", ScriptedPolicy.takeNext(standalone.events));
     }
   }
 
   @Test
-  void aCallThatFindsNoDescriptorFailsMakesRoomAndCanBeMadeAgain() throws Exception {
-    try (stage;
-        Lone lone = new Lone(stage, stage.discovery.address(), DiscoveryClient.MAX_WATCH_MILLIS)) {
-      lone.channelFactory =
+  void missingDescriptorFailsTheCallAndFreesSomeForTheNext() throws Exception {
+    try (fixture;
+        StandaloneClient standalone =
+            new StandaloneClient(
+                fixture, fixture.discovery.address(), DiscoveryClient.MAX_WATCH_MILLIS)) {
+      standalone.channelFactory =
           () -> {
             throw new ChannelException("made by a test");
           };
       for (int i = 0; i < 2; i++) {
-        lone.watch(TIME_UP_MS);
-        assertEquals(Lone.ROOM, ScriptedPolicy.takeNext(lone.told));
-        assertEquals("FAILED", ScriptedPolicy.takeNext(lone.told));
+        standalone.watch(WATCH_LIMIT_MILLIS);
+        assertEquals(StandaloneClient.FREE_DESCRIPTORS, ScriptedPolicy.takeNext(standalone.events));
+        assertEquals("FAILED", ScriptedPolicy.takeNext(standalone.events));
       }
-      lone.loop.execute(() -> lone.channelFactory = NioSocketChannel::new);
-      lone.watch(TIME_UP_MS);
-      HttpPeer watch = stage.discovery.accept();
+      standalone.loop.execute(() -> standalone.channelFactory = NioSocketChannel::new);
+      standalone.watch(WATCH_LIMIT_MILLIS);
+      HttpPeer watch = fixture.discovery.accept();
       assertWatches(41, watch);
       watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
-      assertEquals("DELTA", ScriptedPolicy.takeNext(lone.told));
+      assertEquals("DELTA", ScriptedPolicy.takeNext(standalone.events));
     }
   }
 
   @Test
-  void anAnswerThatDribblesInWithoutEndIsAFailureOnceItsTimeIsOver() throws Exception {
-    try (stage;
-        Lone lone = new Lone(stage, stage.discovery.address(), 100)) {
-      lone.watch(TIME_UP_MS);
-      HttpPeer watch = stage.discovery.accept();
+  void tricklingResponseIsAFailureAfterTheTimeout() throws Exception {
+    try (fixture;
+        StandaloneClient standalone =
+            new StandaloneClient(fixture, fixture.discovery.address(), 100)) {
+      standalone.watch(WATCH_LIMIT_MILLIS);
+      HttpPeer watch = fixture.discovery.accept();
       assertWatches(41, watch);
       watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
       try {
-        while (lone.told.isEmpty()) {
+        while (standalone.events.isEmpty()) {
           watch.write("1\r\n \r\n");
           TimeUnit.MILLISECONDS.sleep(1);
         }
       } catch (IOException e) {
-        // It is not listened to any more.
+        // The client has closed the connection.
       }
-      assertEquals("FAILED", ScriptedPolicy.takeNext(lone.told));
+      assertEquals("FAILED", ScriptedPolicy.takeNext(standalone.events));
     }
   }
 
   @Test
-  void aCallAfterAFailureIsGivenUpAfterASecondWithNoAnswer() throws Exception {
-    try (stage;
-        Lone lone = new Lone(stage, stage.discovery.address(), DiscoveryClient.MAX_WATCH_MILLIS)) {
-      lone.watch(TIME_UP_MS);
-      stage.discovery.accept().reset();
-      assertEquals("FAILED", ScriptedPolicy.takeNext(lone.told));
-      lone.watch(TIME_UP_MS);
-      HttpPeer silent = stage.discovery.accept();
-      // Were it to wait, it would show only after that that nobody answers.
+  void callAfterAFailureDoesNotWaitAndTimesOut() throws Exception {
+    try (fixture;
+        StandaloneClient standalone =
+            new StandaloneClient(
+                fixture, fixture.discovery.address(), DiscoveryClient.MAX_WATCH_MILLIS)) {
+      standalone.watch(WATCH_LIMIT_MILLIS);
+      fixture.discovery.accept().reset();
+      assertEquals("FAILED", ScriptedPolicy.takeNext(standalone.events));
+      standalone.watch(WATCH_LIMIT_MILLIS);
+      HttpPeer silent = fixture.discovery.accept();
+      // A watch that waited would show a dead discovery only after its wait.
       assertEquals(0, assertWatches(41, silent));
-      assertEquals("FAILED", ScriptedPolicy.takeNext(lone.told));
-      lone.watch(TIME_UP_MS);
-      HttpPeer watch = stage.discovery.accept();
+      assertEquals("FAILED", ScriptedPolicy.takeNext(standalone.events));
+      standalone.watch(WATCH_LIMIT_MILLIS);
+      HttpPeer watch = fixture.discovery.accept();
       assertEquals(0, assertWatches(41, watch));
       watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
-      // Once there has been an answer, watches wait again.
+      // After a response, watches wait again.
       assertTrue(assertWatches(42, watch) > 0);
     }
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"automatic", "subscribe"})
-  void whatDiscoveryHadWhileCallsToItFailedIsAskedForWithoutAWait(String mode) throws Exception {
-    try (stage) {
-      stage.registryMode = mode;
-      stage.firstUpdateTimeoutMillis = 1;
-      stage.start(LatencyWeightedPolicy::new);
-      HttpPeer first = stage.discovery.accept();
+  void watchAfterFailuresDoesNotWait(String mode) throws Exception {
+    try (fixture) {
+      fixture.registryMode = mode;
+      fixture.firstUpdateTimeoutMillis = 1;
+      fixture.start(LatencyWeightedPolicy::new);
+      HttpPeer first = fixture.discovery.accept();
       assertWatches(41, first);
       first.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
       assertWatches(42, first);
       first.reset();
       for (int i = 0; i < 2; i++) {
-        stage.discovery.accept().reset();
+        fixture.discovery.accept().reset();
       }
-      HttpPeer watch = stage.discovery.accept();
+      HttpPeer watch = fixture.discovery.accept();
       assertEquals(0, assertWatches(42, watch));
       watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(43, false)));
       assertTrue(assertWatches(43, watch) >= DiscoveryClient.MAX_WATCH_MILLIS / 2);
@@ -454,110 +462,112 @@
   }
 
   @Test
-  void aListThatIsNotTakenInIsAskedForWholeOnceTheModuleAsks() throws Exception {
-    try (stage) {
+  void fullListIsRequestedAfterAnUpdateCouldNotBeApplied() throws Exception {
+    try (fixture) {
       started();
-      stage.policy.onUpdate =
+      fixture.policy.onUpdate =
           change -> {
             if (change == EndpointUpdateType.DELTA) {
               throw new IllegalStateException("made by a test");
             }
           };
-      HttpPeer watch = stage.discovery.accept();
+      HttpPeer watch = fixture.discovery.accept();
       assertWatches(41, watch);
       watch.write(
           ProxyFixture.okResponse(
               ProxyFixture.endpointList(
                   45, false, ProxyFixture.endpointEntry(0, "127.0.0.1:1", "draining"))));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(stage.policy.updates));
-      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(stage.policy.updates));
-      stage.policy.onRequest =
+      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(fixture.policy.updates));
+      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(fixture.policy.updates));
+      fixture.policy.onRequest =
           request -> {
-            stage.policy.actions.reject(request.id(), 0);
-            stage.policy.actions.watchEndpoints(true);
+            fixture.policy.actions.reject(request.id(), 0);
+            fixture.policy.actions.watchEndpoints(true);
           };
-      HttpPeer caller = stage.connectClient();
-      caller.write(ProxyFixture.idempotentRequest("again", "10"));
-      caller.read();
-      // The first call since then, on the connection that is as well as before, and the only one.
+      HttpPeer client = fixture.connectClient();
+      client.write(ProxyFixture.idempotentRequest("again", "10"));
+      client.read();
+      // The only call since then, over the same connection.
       assertEquals("GET /catalog/members HTTP/1.1", watch.read().startLine());
       watch.write(
           ProxyFixture.okResponse(
               ProxyFixture.endpointList(
                   45,
                   true,
-                  ProxyFixture.endpointEntry(0, stage.upstreams.get(0).address(), "up"))));
-      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
+                  ProxyFixture.endpointEntry(0, fixture.upstreams.get(0).address(), "up"))));
+      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(fixture.policy.updates));
       assertWatches(45, watch);
-      assertEquals(0, stage.discovery.pendingConnections());
-      stage.policy.onRequest = request -> stage.policy.sendTo(0, request, 0);
-      stage.assertStillServes();
+      assertEquals(0, fixture.discovery.pendingConnections());
+      fixture.policy.onRequest = request -> fixture.policy.sendTo(0, request, 0);
+      fixture.assertStillServes();
     }
   }
 
   @Test
-  void aWatchGoesOnOverANewConnectionWhereItsAnswerEndsTheOldOne() throws Exception {
-    try (stage) {
+  void watchContinuesOnANewConnectionAfterConnectionClose() throws Exception {
+    try (fixture) {
       started();
-      HttpPeer watch = stage.discovery.accept();
+      HttpPeer watch = fixture.discovery.accept();
       assertWatches(41, watch);
       watch.write(
           ProxyFixture.okResponse(ProxyFixture.endpointList(42, false))
               .replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(stage.policy.updates));
+      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(fixture.policy.updates));
       assertTrue(watch.isClosedByPeer());
-      assertWatches(42, stage.discovery.accept());
-      assertTrue(stage.policy.updates.isEmpty());
+      assertWatches(42, fixture.discovery.accept());
+      assertTrue(fixture.policy.updates.isEmpty());
     }
   }
 
   @Test
-  void aWholeListOfALowerVersionIsTakenInAndGoneOnFrom() throws Exception {
-    try (stage) {
+  void fullListWithALowerVersionIsApplied() throws Exception {
+    try (fixture) {
       started();
-      HttpPeer watch = stage.discovery.accept();
+      HttpPeer watch = fixture.discovery.accept();
       assertWatches(41, watch);
       watch.write(
           ProxyFixture.okResponse(
               ProxyFixture.endpointList(
-                  7, true, ProxyFixture.endpointEntry(0, stage.upstreams.get(0).address(), "up"))));
-      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
+                  7,
+                  true,
+                  ProxyFixture.endpointEntry(0, fixture.upstreams.get(0).address(), "up"))));
+      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(fixture.policy.updates));
       assertWatches(7, watch);
     }
   }
 
   @Test
-  void newsThatASilentWatchMissedIsKnownBeforeItCountsAsTold() throws Exception {
-    try (stage) {
-      stage.registryMode = "automatic";
-      stage.start(LatencyWeightedPolicy::new);
-      HttpPeer silent = stage.discovery.accept();
+  void deadWatchIsReplacedBeforeMissedUpdatesCountAsNotified() throws Exception {
+    try (fixture) {
+      fixture.registryMode = "automatic";
+      fixture.start(LatencyWeightedPolicy::new);
+      HttpPeer silent = fixture.discovery.accept();
       assertEquals(0, assertWatches(41, silent));
       silent.write(ProxyFixture.okResponse(ProxyFixture.endpointList(41, false)));
-      // It counts as told 6 s after it was there to tell: the call that missed it has to be over.
+      // Updates count as notified after 6 s; the dead watch must have timed out by then.
       int wait = assertWatches(41, silent);
       assertTrue(wait > 0 && wait <= 2_000);
-      HttpPeer watch = stage.discovery.accept();
+      HttpPeer watch = fixture.discovery.accept();
       assertTrue(silent.isClosedByPeer());
       assertWatches(41, watch);
     }
   }
 
   @Test
-  void aNewProcessDoesNotServeFromItsKnownListBeforeDiscoveryHasAnswered() throws Exception {
+  void startWaitsForTheFirstDiscoveryResponse() throws Exception {
     CountDownLatch started = new CountDownLatch(1);
-    try (stage) {
-      stage.registryMode = "automatic";
-      stage.policy.onStart = () -> {};
-      stage.firstUpdateTimeoutMillis = HttpPeer.TIMEOUT_MILLIS;
+    try (fixture) {
+      fixture.registryMode = "automatic";
+      fixture.policy.onStart = () -> {};
+      fixture.firstUpdateTimeoutMillis = HttpPeer.TIMEOUT_MILLIS;
       Thread agent =
           new Thread(
               () -> {
                 try {
-                  HttpPeer watch = stage.discovery.accept();
-                  // Nothing may be newer than the list, which only an answer at once can tell.
+                  HttpPeer watch = fixture.discovery.accept();
+                  // Only an immediate response shows that the known list is up to date.
                   assertEquals(0, assertWatches(41, watch));
-                  // A node that does not wait for this has begun to serve by now.
+                  // A proxy that did not wait for this response would serve by now.
                   started.await(300, TimeUnit.MILLISECONDS);
                   watch.write(
                       ProxyFixture.okResponse(
@@ -565,34 +575,34 @@
                               42,
                               false,
                               ProxyFixture.endpointEntry(
-                                  0, stage.upstreams.get(0).address(), "draining"))));
+                                  0, fixture.upstreams.get(0).address(), "draining"))));
                 } catch (IOException | InterruptedException e) {
                   throw new AssertionError(e);
                 }
               });
       agent.start();
-      stage.start();
+      fixture.start();
       started.countDown();
-      assertEquals(EndpointUpdateType.CACHED, stage.policy.updates.poll());
-      assertEquals(EndpointUpdateType.DELTA, stage.policy.updates.poll());
+      assertEquals(EndpointUpdateType.CACHED, fixture.policy.updates.poll());
+      assertEquals(EndpointUpdateType.DELTA, fixture.policy.updates.poll());
       agent.join();
     }
   }
 
   @Test
-  void aNewProcessServesFromItsKnownListWhileDiscoveryIsSilent() throws Exception {
-    try (stage) {
-      stage.registryMode = "automatic";
-      stage.policy.onStart = () -> {};
-      stage.firstUpdateTimeoutMillis = 1;
-      stage.start();
-      stage.discovery.accept().read();
-      stage.assertStillServes();
+  void startServesFromTheKnownListIfDiscoveryDoesNotRespond() throws Exception {
+    try (fixture) {
+      fixture.registryMode = "automatic";
+      fixture.policy.onStart = () -> {};
+      fixture.firstUpdateTimeoutMillis = 1;
+      fixture.start();
+      fixture.discovery.accept().read();
+      fixture.assertStillServes();
     }
   }
 
   @Test
-  void copiesThatStartTogetherDoNotWatchInStep() throws Exception {
+  void instancesWithDifferentSeedsWaitForDifferentTimes() throws Exception {
     List<Integer> first = new ArrayList<>();
     List<Integer> second = new ArrayList<>();
     for (List<Integer> waits : List.of(first, second)) {
@@ -601,7 +611,7 @@
         copy.registryMode = "automatic";
         copy.start(LatencyWeightedPolicy::new);
         HttpPeer watch = copy.discovery.accept();
-        // The first is answered at once and waits in neither.
+        // The first watch does not wait in either instance.
         assertEquals(0, assertWatches(41, watch));
         watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
         for (int version = 42; version < 50; version++) {
@@ -617,43 +627,44 @@
   }
 
   @Test
-  void theWholeListIsAskedForOnItsOwn() throws Exception {
-    try (stage) {
-      stage.policy.onStart = () -> stage.policy.actions.fetchEndpoints();
+  void fetchRequestsTheFullList() throws Exception {
+    try (fixture) {
+      fixture.policy.onStart = () -> fixture.policy.actions.fetchEndpoints();
       started();
-      HttpPeer call = stage.discovery.accept();
+      HttpPeer call = fixture.discovery.accept();
       assertEquals("GET /catalog/members HTTP/1.1", call.read().startLine());
       call.write(ProxyFixture.okResponse(ProxyFixture.endpointList(50, true)));
-      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
+      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(fixture.policy.updates));
     }
   }
 
   @Test
-  void aCallForTheWholeListLeavesNoConnectionBehind() throws Exception {
-    try (stage) {
-      stage.policy.onStart = () -> stage.policy.actions.fetchEndpoints();
+  void fetchClosesItsConnection() throws Exception {
+    try (fixture) {
+      fixture.policy.onStart = () -> fixture.policy.actions.fetchEndpoints();
       started();
-      HttpPeer call = stage.discovery.accept();
+      HttpPeer call = fixture.discovery.accept();
       call.read();
       call.write(ProxyFixture.okResponse(ProxyFixture.endpointList(50, true)));
-      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
+      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(fixture.policy.updates));
       assertTrue(call.isClosedByPeer());
     }
   }
 
   @Test
-  void anotherDiscoveryIsAskedForItsWholeListAndTheOldOneLeftQuietly() throws Exception {
+  void switchRequestsTheFullListAndCancelsTheOldWatch() throws Exception {
     Path file = Files.createTempFile("node", ".json");
-    try (stage;
+    try (fixture;
         ScriptedListener second = new ScriptedListener();
         ScriptedListener third = new ScriptedListener()) {
       started();
-      HttpPeer old = stage.discovery.accept();
+      HttpPeer old = fixture.discovery.accept();
       old.read();
       ScriptedListener[] moves = {second, third};
       for (ScriptedListener move : moves) {
-        Files.writeString(file, stage.config().replace(stage.discovery.address(), move.address()));
-        stage.server.reload(ProxyConfig.read(file.toString()));
+        Files.writeString(
+            file, fixture.config().replace(fixture.discovery.address(), move.address()));
+        fixture.server.reload(ProxyConfig.read(file.toString()));
         HttpPeer fresh = move.accept();
         assertEquals("GET /catalog/members HTTP/1.1", fresh.read().startLine());
         assertTrue(old.isClosedByPeer());
@@ -662,87 +673,93 @@
                 ProxyFixture.endpointList(
                     7,
                     true,
-                    ProxyFixture.endpointEntry(0, stage.upstreams.get(0).address(), "up"))));
-        // No failure came before it.
-        assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
+                    ProxyFixture.endpointEntry(0, fixture.upstreams.get(0).address(), "up"))));
+        // The cancelled watch was not reported as a failure.
+        assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(fixture.policy.updates));
         assertWatches(7, fresh);
         old = fresh;
       }
-      stage.assertStillServes();
+      fixture.assertStillServes();
     } finally {
       Files.delete(file);
     }
   }
 
   @Test
-  void anAnswerOfTheOldDiscoveryAfterTheMoveIsOfNoUse() throws Exception {
+  void responsesOfTheOldDiscoveryAreIgnoredAfterASwitch() throws Exception {
     Path file = Files.createTempFile("node", ".json");
-    try (stage;
+    try (fixture;
         ScriptedListener second = new ScriptedListener()) {
-      stage.policy.onStart =
+      fixture.policy.onStart =
           () -> {
-            stage.policy.actions.watchEndpoints(true);
-            stage.policy.actions.fetchEndpoints();
+            fixture.policy.actions.watchEndpoints(true);
+            fixture.policy.actions.fetchEndpoints();
           };
       started();
-      HttpPeer[] old = {stage.discovery.accept(), stage.discovery.accept()};
+      HttpPeer[] old = {fixture.discovery.accept(), fixture.discovery.accept()};
       old[0].read();
       old[1].read();
-      Files.writeString(file, stage.config().replace(stage.discovery.address(), second.address()));
-      stage.server.reload(ProxyConfig.read(file.toString()));
+      Files.writeString(
+          file, fixture.config().replace(fixture.discovery.address(), second.address()));
+      fixture.server.reload(ProxyConfig.read(file.toString()));
       HttpPeer watch = second.accept();
       watch.read();
       for (HttpPeer call : old) {
         try {
           call.write(ProxyFixture.okResponse(ProxyFixture.endpointList(99, true)));
         } catch (IOException e) {
-          // The watch's own connection is closed already.
+          // The connection of the watch is closed already.
         }
       }
-      // What was asked for is asked for again, where discovery is now.
+      // The fetch is repeated at the new address.
       HttpPeer fetch = second.accept();
       assertEquals("GET /catalog/members HTTP/1.1", fetch.read().startLine());
-      assertTrue(stage.policy.updates.isEmpty());
+      assertTrue(fixture.policy.updates.isEmpty());
       watch.write(
           ProxyFixture.okResponse(
               ProxyFixture.endpointList(
-                  7, true, ProxyFixture.endpointEntry(0, stage.upstreams.get(0).address(), "up"))));
-      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
+                  7,
+                  true,
+                  ProxyFixture.endpointEntry(0, fixture.upstreams.get(0).address(), "up"))));
+      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(fixture.policy.updates));
       assertWatches(7, watch);
-      stage.assertStillServes();
+      fixture.assertStillServes();
     } finally {
       Files.delete(file);
     }
   }
 
   @Test
-  void theSameDiscoveryAgainOrBackAndForthLeavesOneWatch() throws Exception {
+  void switchToTheSameDiscoveryOrBackLeavesOneWatch() throws Exception {
     Path first = Files.createTempFile("node", ".json");
     Path other = Files.createTempFile("node", ".json");
-    try (stage;
+    try (fixture;
         ScriptedListener second = new ScriptedListener()) {
       started();
-      HttpPeer watch = stage.discovery.accept();
+      HttpPeer watch = fixture.discovery.accept();
       assertWatches(41, watch);
-      Files.writeString(first, stage.config());
-      Files.writeString(other, stage.config().replace(stage.discovery.address(), second.address()));
-      stage.server.reload(ProxyConfig.read(first.toString()));
+      Files.writeString(first, fixture.config());
+      Files.writeString(
+          other, fixture.config().replace(fixture.discovery.address(), second.address()));
+      fixture.server.reload(ProxyConfig.read(first.toString()));
       watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(stage.policy.updates));
+      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(fixture.policy.updates));
       assertWatches(42, watch);
-      // Two in a row: the later one counts, whatever the earlier one has begun.
-      stage.server.reload(ProxyConfig.read(other.toString()));
-      stage.server.reload(ProxyConfig.read(first.toString()));
+      // Of two reloads in a row, the later one counts.
+      fixture.server.reload(ProxyConfig.read(other.toString()));
+      fixture.server.reload(ProxyConfig.read(first.toString()));
       assertTrue(watch.isClosedByPeer());
-      HttpPeer back = stage.discovery.accept();
+      HttpPeer back = fixture.discovery.accept();
       assertEquals("GET /catalog/members HTTP/1.1", back.read().startLine());
       back.write(
           ProxyFixture.okResponse(
               ProxyFixture.endpointList(
-                  3, true, ProxyFixture.endpointEntry(0, stage.upstreams.get(0).address(), "up"))));
-      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(stage.policy.updates));
+                  3,
+                  true,
+                  ProxyFixture.endpointEntry(0, fixture.upstreams.get(0).address(), "up"))));
+      assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(fixture.policy.updates));
       assertWatches(3, back);
-      stage.assertStillServes();
+      fixture.assertStillServes();
     } finally {
       Files.delete(first);
       Files.delete(other);
@@ -750,22 +767,23 @@
   }
 
   @Test
-  void aNewDiscoveryThatFailsIsStillAskedForItsWholeList() throws Exception {
+  void fullListIsRequestedAgainAfterTheNewDiscoveryFailed() throws Exception {
     Path file = Files.createTempFile("node", ".json");
-    try (stage;
+    try (fixture;
         ScriptedListener second = new ScriptedListener()) {
       started();
-      stage.discovery.accept().read();
-      Files.writeString(file, stage.config().replace(stage.discovery.address(), second.address()));
-      stage.server.reload(ProxyConfig.read(file.toString()));
+      fixture.discovery.accept().read();
+      Files.writeString(
+          file, fixture.config().replace(fixture.discovery.address(), second.address()));
+      fixture.server.reload(ProxyConfig.read(file.toString()));
       second.accept().reset();
-      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(stage.policy.updates));
-      stage.policy.onRequest =
+      assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(fixture.policy.updates));
+      fixture.policy.onRequest =
           request -> {
-            stage.policy.actions.reject(request.id(), 0);
-            stage.policy.actions.watchEndpoints(true);
+            fixture.policy.actions.reject(request.id(), 0);
+            fixture.policy.actions.watchEndpoints(true);
           };
-      stage.connectClient().write(ProxyFixture.idempotentRequest("again", "10"));
+      fixture.connectClient().write(ProxyFixture.idempotentRequest("again", "10"));
       assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().startLine());
     } finally {
       Files.delete(file);
--- a/src/test/java/loadbalancer/proxy/json/JsonReaderTest.java
+++ b/src/test/java/loadbalancer/proxy/json/JsonReaderTest.java
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void aTreeIsTheSameAsTheMappers() throws IOException {
+  void treeEqualsThatOfJacksonsMapper() throws IOException {
     for (String text :
         List.of(
             "{}",
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void whatIsNoJsonIsAnError() {
+  void malformedJsonIsRejected() {
     for (String text :
         List.of(
             "{",
--- a/src/test/java/loadbalancer/settings/SettingsParserTest.java
+++ b/src/test/java/loadbalancer/settings/SettingsParserTest.java
@@ -90,13 +90,13 @@
     return SettingsParser.parse(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static void assertRefused(String message, String text) {
+  private static void assertRejected(String message, String text) {
     MalformedInputException e = assertThrows(MalformedInputException.class, () -> parse(text));
     assertTrue(e.getMessage().contains(message), e.getMessage());
   }
 
   @Test
-  void everySettingLandsInItsPlace() {
+  void completeSettingsAreParsed() {
     PolicySettings settings = parse(COMPLETE);
     assertEquals(4, settings.instanceIndex());
     assertEquals(9, settings.instanceCount());
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void unknownKeysAreSkippedAndAbsentOnesTakeTheirDefault() {
+  void unknownKeysAreIgnoredAndOptionalOnesHaveDefaults() {
     PolicySettings settings = parse(COMPLETE + "rules.brandNew=x\nprices.fleet=0.5\n");
     assertEquals(0, settings.requestClasses().get(0).objectivePerCost());
     assertFalse(settings.requestClasses().get(0).orderedByKey());
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void orderPlacementAndGoalsLandInTheirPlaces() {
+  void orderingPlacementAndScoreWeightsAreParsed() {
     PolicySettings settings =
         parse(
             COMPLETE
@@ -147,7 +147,7 @@
   }
 
   @Test
-  void withoutOrderAndPlacementAClassIsFree() {
+  void requestClassIsUnrestrictedByDefault() {
     PolicySettings settings = parse(COMPLETE);
     assertFalse(settings.requestClasses().get(0).orderedByKey());
     assertTrue(
@@ -178,17 +178,17 @@
         "prices.registryMode",
         "weightKind"
       })
-  void anUnreadSettingIsStillRequiredAndChecked(String key) {
+  void unusedRequiredSettingIsValidated(String key) {
     String without = COMPLETE.replaceAll("(?m)^" + Pattern.quote(key) + "=.*\n", "");
-    assertRefused("setting " + key + " is missing", without);
-    assertRefused("setting " + key + " has the bad value 'x'", without + key + "=x\n");
+    assertRejected("setting " + key + " is missing", without);
+    assertRejected("setting " + key + " has the bad value 'x'", without + key + "=x\n");
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"stages", "zones"})
-  void aListOfNamesThatNoDecisionReadsIsStillRequired(String key) {
+  void unusedListOfNamesIsRequired(String key) {
     String without = COMPLETE.replaceAll("(?m)^" + Pattern.quote(key) + "=.*\n", "");
-    assertRefused("setting " + key + " is missing", without);
+    assertRejected("setting " + key + " is missing", without);
   }
 
   @ParameterizedTest
@@ -205,55 +205,55 @@
         "limits.cpuUsPerRequest",
         "limits.cpuUsPerS"
       })
-  void anUnreadOptionalSettingIsCheckedWhereItIsGiven(String key) {
-    assertRefused("setting " + key + " has the bad value 'x'", COMPLETE + key + "=x\n");
+  void unusedOptionalSettingIsValidatedIfPresent(String key) {
+    assertRejected("setting " + key + " has the bad value 'x'", COMPLETE + key + "=x\n");
   }
 
   @Test
-  void aTenantIsReadByNameAndItsFiguresAreChecked() {
+  void tenantIsParsedAndItsNumbersAreValidated() {
     String tenants = "tenants.count=1\ntenants.0.name=acme\ntenants.0.fraction=0.5\n";
     assertEquals(
         List.of(new Tenant("acme")),
         parse(COMPLETE + tenants + "tenants.0.quotaPerS=9\n").tenants());
-    assertRefused("setting tenants.0.quotaPerS is missing", COMPLETE + tenants);
-    assertRefused(
+    assertRejected("setting tenants.0.quotaPerS is missing", COMPLETE + tenants);
+    assertRejected(
         "setting tenants.0.quotaPerS has the bad value",
         COMPLETE + tenants + "tenants.0.quotaPerS=x\n");
   }
 
   @Test
-  void aBadPlaceIsNamed() {
-    assertRefused("services.0.runsIn has the bad value", COMPLETE + "services.0.runsIn=0,north\n");
-    assertRefused("services.1.boundTo has the bad value", COMPLETE + "services.1.boundTo=-1\n");
-    assertRefused("services.0.byArrival has the bad value", COMPLETE + "services.0.byArrival=1\n");
-    assertRefused("rules.orderSettle has the bad value", COMPLETE + "rules.orderSettle=\n");
+  void invalidPlacementIsReportedWithItsKey() {
+    assertRejected("services.0.runsIn has the bad value", COMPLETE + "services.0.runsIn=0,north\n");
+    assertRejected("services.1.boundTo has the bad value", COMPLETE + "services.1.boundTo=-1\n");
+    assertRejected("services.0.byArrival has the bad value", COMPLETE + "services.0.byArrival=1\n");
+    assertRejected("rules.orderSettle has the bad value", COMPLETE + "rules.orderSettle=\n");
   }
 
   @Test
-  void aMissingSettingIsNamed() {
-    assertRefused("rules.drainGrace is missing", COMPLETE.replace("rules.drainGrace=500.0\n", ""));
-    assertRefused("services.count is missing", COMPLETE.replace("services.count=2\n", ""));
-    assertRefused(
+  void missingSettingIsReportedWithItsKey() {
+    assertRejected("rules.drainGrace is missing", COMPLETE.replace("rules.drainGrace=500.0\n", ""));
+    assertRejected("services.count is missing", COMPLETE.replace("services.count=2\n", ""));
+    assertRejected(
         "services.1.memorySpan is missing", COMPLETE.replace("services.1.memorySpan=3000.0\n", ""));
   }
 
   @Test
-  void aBadValueIsNamed() {
-    assertRefused(
+  void invalidValueIsReportedWithItsKey() {
+    assertRejected(
         "rules.warmUp has the bad value", COMPLETE.replace("warmUp=9000.0", "warmUp=soon"));
-    assertRefused(
+    assertRejected(
         "rules.warmUp has the bad value", COMPLETE.replace("warmUp=9000.0", "warmUp=NaN"));
-    assertRefused(
+    assertRejected(
         "services.0.idempotency has the bad value",
         COMPLETE.replace("services.0.idempotency=idempotent", "services.0.idempotency=maybe"));
-    assertRefused(
+    assertRejected(
         "services.count has the bad value",
         COMPLETE.replace("services.count=2", "services.count=-1"));
-    assertRefused("settings line 1 is no path=value pair", "nonsense\n" + COMPLETE);
+    assertRejected("settings line 1 is no path=value pair", "nonsense\n" + COMPLETE);
   }
 
   @Test
-  void settingsThatAreNotTextAreRefused() {
+  void settingsThatAreNotUtf8AreRejected() {
     assertThrows(
         MalformedInputException.class,
         () -> SettingsParser.parse(new byte[] {(byte) 0xc3, (byte) 0x28}));
--- a/src/test/java/loadbalancer/simulation/SimulationHostTest.java
+++ b/src/test/java/loadbalancer/simulation/SimulationHostTest.java
@@ -18,11 +18,11 @@
 import loadbalancer.settings.SettingsParserTest;
 import org.junit.jupiter.api.Test;
 
-/** The wire, byte for byte: good frames, and what bad input gets. */
+/** The binary protocol, byte for byte: valid frames and malformed ones. */
 class SimulationHostTest {
 
   private static final int INSTANCE = 3;
-  private static final long UPSTREAM = 0x232b_074a_120aL;
+  private static final long ENDPOINT = 0x232b_074a_120aL;
 
   @SuppressWarnings("ArrayRecordComponent") // compared with assertArrayEquals
   private record Run(int status, byte[] out, String err) {}
@@ -71,15 +71,15 @@
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  private static byte[] entry(long upstream) {
+  private static byte[] entry(long endpoint) {
     byte[] entry = new byte[EndpointLists.ENTRY_BYTES];
-    LittleEndian.putEndpointId(entry, 0, upstream);
+    LittleEndian.putEndpointId(entry, 0, endpoint);
     entry[11] = 1;
     LittleEndian.putInt(entry, 12, Float.floatToIntBits(1f));
     return entry;
   }
 
-  /** The opening frame: one instance, its settings, a list of one upstream. */
+  /** The opening frame: one instance, its settings, a list of one endpoint. */
   private static byte[] opening() {
     byte[] text = settings("");
     byte[] provision = record(0, INSTANCE);
@@ -92,7 +92,7 @@
     LittleEndian.putInt(list, 7, 1);
     byte[] discovery = record(1, INSTANCE);
     discovery[5] = 2;
-    return frame(10_000, concat(text, entry(UPSTREAM)), provision, list, discovery);
+    return frame(10_000, concat(text, entry(ENDPOINT)), provision, list, discovery);
   }
 
   private static byte[] incoming(long id) {
@@ -107,12 +107,12 @@
     LittleEndian.putLong(record, 5, id);
     record[13] = (byte) (code == 10 ? 1 : 0);
     record[14] = (byte) code;
-    LittleEndian.putEndpointId(record, 15, UPSTREAM);
+    LittleEndian.putEndpointId(record, 15, ENDPOINT);
     LittleEndian.putDouble(record, 23, 20);
     return record;
   }
 
-  private static void assertRefused(String message, byte[] input) {
+  private static void assertRejected(String message, byte[] input) {
     Run run = run(input);
     assertEquals(1, run.status, run.err);
     assertTrue(run.err.contains(message), run.err);
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void anEmptyBatchGetsAnEmptyReply() {
+  void emptyFrameGetsAnEmptyReply() {
     byte[] batch = HexFormat.of().parseHex("000000000000000000000000206ec040");
     Run run = run(batch);
     assertEquals(0, run.status);
@@ -129,26 +129,25 @@
   }
 
   @Test
-  void aRequestIsPlacedOnTheListedUpstream() {
+  void requestIsSentToTheListedEndpoint() {
     Run run = run(concat(opening(), frame(10_005, new byte[0], incoming(0xfa3135d3a91c4L))));
     assertEquals(0, run.status, run.err);
     byte[] reply = run.out;
-    // An empty reply to the opening, then one record: place, instance, request, upstream, patience.
+    // An empty reply to the opening, then one record: code, instance, request, endpoint, timeout.
     assertEquals(8 + 8 + 32, reply.length);
     assertEquals(32, LittleEndian.getInt(reply, 8));
     assertEquals(1, LittleEndian.getInt(reply, 12));
     assertEquals(
         "03" + "03000000" + "c4913a5d13a30f00" + "0a124a072b23",
         HexFormat.of().formatHex(reply, 16, 35));
-    // Nothing seen yet: twice three times the first guess of a fifth of the aim of 500 ms.
+    // Without statistics: 2 * 3 times a fifth of the latency objective of 500 ms.
     assertEquals(600, LittleEndian.getDouble(reply, 35), 1e-9);
     assertEquals("0000000000", HexFormat.of().formatHex(reply, 43, 48));
   }
 
   @Test
-  void aReplyOfManyRecordsKeepsEveryOneWhole() {
-    // More finals than fit the writer's first buffer: an id written before it grew must not get
-    // lost.
+  void replyThatOutgrowsItsBufferKeepsAllRecords() {
+    // More records than fit the writer's first buffer: growing it must keep those before.
     byte[][] requests = new byte[1_500][];
     byte[][] failures = new byte[requests.length][];
     for (int i = 0; i < requests.length; i++) {
@@ -171,7 +170,7 @@
   }
 
   @Test
-  void aFailureOfTheDecisionCodeBecomesTheFaultAction() throws IOException {
+  void exceptionOfThePolicyBecomesAFaultAction() throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     LoadBalancingPolicy broken =
         (LoadBalancingPolicy)
@@ -195,7 +194,7 @@
   }
 
   @Test
-  void oddButLegalEventsAreQuiet() {
+  void eventsForUnknownRequestsCauseNoActions() {
     byte[] gone = record(5, INSTANCE);
     LittleEndian.putLong(gone, 5, 99);
     byte[] ring = record(6, INSTANCE);
@@ -225,50 +224,50 @@
                     late),
                 frame(10_010, new byte[0], record(9, INSTANCE))));
     assertEquals(0, run.status, run.err);
-    // Only the request whose deadline has passed is answered: refused.
+    // Only the request whose deadline has passed is answered: rejected.
     assertEquals(8 + 8 + 32 + 8, run.out.length);
     assertEquals(0, run.out[16]);
   }
 
   @Test
-  void badFramesEndTheRunWithAMessage() {
+  void malformedFramesEndTheRunWithAMessage() {
     byte[] none = new byte[0];
-    assertRefused("inside the header", new byte[5]);
-    assertRefused("input ends after", Arrays.copyOf(opening(), 60));
+    assertRejected("inside the header", new byte[5]);
+    assertRejected("input ends after", Arrays.copyOf(opening(), 60));
     byte[] records = new byte[SimulationHost.HEADER_BYTES];
     LittleEndian.putInt(records, 4, 7);
-    assertRefused("7 records do not fit", records);
+    assertRejected("7 records do not fit", records);
     byte[] huge = new byte[SimulationHost.HEADER_BYTES];
     LittleEndian.putInt(huge, 0, -1);
-    assertRefused("over the limit", huge);
-    assertRefused("clock NaN", frame(Double.NaN, none));
-    assertRefused("clock 1.0 after 2.0", concat(frame(2, none), frame(1, none)));
+    assertRejected("over the limit", huge);
+    assertRejected("clock NaN", frame(Double.NaN, none));
+    assertRejected("clock 1.0 after 2.0", concat(frame(2, none), frame(1, none)));
   }
 
   @Test
-  void badRecordsEndTheRunWithAMessage() {
+  void malformedRecordsEndTheRunWithAMessage() {
     byte[] none = new byte[0];
-    assertRefused(
+    assertRejected(
         "unknown event code 11", concat(opening(), frame(10_001, none, record(11, INSTANCE))));
-    assertRefused("unknown instance 4", concat(opening(), frame(10_001, none, record(6, 4))));
+    assertRejected("unknown instance 4", concat(opening(), frame(10_001, none, record(6, 4))));
     byte[] number = record(10, 0);
     LittleEndian.putShort(number, 1, 16);
-    assertRefused("list number 16", frame(1, none, number));
+    assertRejected("list number 16", frame(1, none, number));
     byte[] never = record(1, INSTANCE);
     LittleEndian.putShort(never, 10, 5);
-    assertRefused("list 5 was never given", concat(opening(), frame(10_001, none, never)));
+    assertRejected("list 5 was never given", concat(opening(), frame(10_001, none, never)));
     byte[] offset = record(10, 0);
     LittleEndian.putInt(offset, 3, 4);
     LittleEndian.putInt(offset, 7, 1);
-    assertRefused("leaves the tail", frame(1, entry(UPSTREAM), offset));
-    assertRefused("unknown outcome 11", concat(opening(), frame(10_001, none, finished(1, 11))));
+    assertRejected("leaves the tail", frame(1, entry(ENDPOINT), offset));
+    assertRejected("unknown outcome 11", concat(opening(), frame(10_001, none, finished(1, 11))));
     byte[] serviceClass = incoming(1);
     serviceClass[13] = 9;
-    assertRefused("unknown class 9", concat(opening(), frame(10_001, none, serviceClass)));
+    assertRejected("unknown class 9", concat(opening(), frame(10_001, none, serviceClass)));
   }
 
   @Test
-  void anotherCommandLineGetsUsage() {
+  void wrongArgumentsPrintTheUsage() {
     Run run = run(new byte[0], "serve");
     assertEquals(2, run.status);
     assertTrue(run.err.startsWith("usage: "));
@@ -276,14 +275,14 @@
   }
 
   @Test
-  void mutatedFramesEndInAReplyOrAPlainMessage() throws IOException {
+  void mutatedFramesEndInAReplyOrAOneLineMessage() throws IOException {
     byte[] good =
         concat(
             opening(),
             frame(10_005, new byte[0], incoming(1), incoming(2)),
             frame(10_025, new byte[0], finished(1, 10), finished(2, 20)));
     SplittableRandom random = new SplittableRandom(20261128);
-    int refused = 0;
+    int rejected = 0;
     for (int i = 0; i < 4_000; i++) {
       byte[] bad = good.clone();
       for (int flips = random.nextInt(1, 4); flips > 0; flips--) {
@@ -293,13 +292,13 @@
       Run run = run(input);
       assertTrue(run.status == 0 || run.status == 1);
       if (run.status == 1) {
-        refused++;
+        rejected++;
         assertTrue(run.err.startsWith("load-balancer: "), run.err);
         assertFalse(run.err.contains("\tat "), run.err);
       } else {
         assertEquals("", run.err);
       }
     }
-    assertTrue(refused > 500, refused + " refused");
+    assertTrue(rejected > 500, rejected + " rejected");
   }
 }
