--- a/src/main/java/loadbalancer/proxy/upstream/ConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ConnectionPool.java
@@ -21,7 +21,7 @@
 
   private final Clock clock;
   private final double maxIdleMillis;
-  private final double removedMemoryMillis;
+  private final double drainGraceMillis;
   private final Map<Long, UpstreamEndpoint> endpoints = new HashMap<>();
   private IdleConnectionTrust trust;
   private double reuseDelayMillis;
@@ -29,7 +29,7 @@
   ConnectionPool(Clock clock, PolicySettings settings, UpstreamClientOptions options) {
     this.clock = clock;
     maxIdleMillis = IDLE_TIMEOUT_SHARE * settings.limits().idleTimeoutMillis();
-    removedMemoryMillis = REMOVED_MEMORY_PER_DRAIN_GRACE * settings.rules().drainGraceMillis();
+    drainGraceMillis = settings.rules().drainGraceMillis();
     useOptions(options);
   }
 
@@ -51,7 +51,9 @@
       long id = entry.endpoint().id();
       unlisted.remove(id);
       if (entry.endpoint().state() != EndpointState.REMOVED) {
-        endpoints.computeIfAbsent(id, key -> new UpstreamEndpoint(entry)).update(entry, notifiedAt);
+        endpoints
+            .computeIfAbsent(id, key -> new UpstreamEndpoint(entry, drainGraceMillis))
+            .update(entry, notifiedAt);
       } else if (endpoints.containsKey(id)) {
         endpoints.get(id).remove(notifiedAt);
       }
@@ -89,7 +91,10 @@
     return Optional.empty();
   }
 
-  /** Keeps a connection for the next request, or closes it if it is of no use for one. */
+  /**
+   * Keeps a connection for the next request, or closes it if the endpoint is not ready or was
+   * replaced.
+   */
   void release(UpstreamConnection connection, UpstreamEndpoint endpoint) {
     connection.detach(endpoint);
     if (endpoint.isReady() && endpoint.isSameProcess(connection.entry())) {
@@ -100,12 +105,16 @@
     }
   }
 
-  /** To be called once a second with the present time: closes what has been idle for too long. */
+  /**
+   * To be called once a second with the present time: closes what has been idle for too long and
+   * forgets endpoints that were removed long ago.
+   */
   void sweep(double now) {
     for (UpstreamEndpoint endpoint : endpoints.values()) {
       endpoint.closeIdleSinceBefore(now - maxIdleMillis);
     }
-    endpoints.values().removeIf(endpoint -> endpoint.isForgettable(now - removedMemoryMillis));
+    double removedBefore = now - REMOVED_MEMORY_PER_DRAIN_GRACE * drainGraceMillis;
+    endpoints.values().removeIf(endpoint -> endpoint.isForgettable(removedBefore));
   }
 
   /** Closes the connection that has been idle for longest; false if there is none. */
--- a/src/main/java/loadbalancer/proxy/upstream/IdleConnectionTrust.java
+++ b/src/main/java/loadbalancer/proxy/upstream/IdleConnectionTrust.java
@@ -32,7 +32,11 @@
 
   private final double maxIdleMillis;
   private final double freshIdleMillis;
+
+  /** Up to this idle time a connection may be reused. */
   private double trustedIdleMillis;
+
+  /** The decaying share, 0 to 1, of reuses that were reset. */
   private double resetShare;
 
   /**
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
@@ -36,7 +36,6 @@
   private final Clock clock;
   private final ConnectionPool pool;
   private final UpstreamConnector connector;
-  private final double drainGraceMillis;
   private final FullHttpRequest request;
   private final double deadline;
   private final UpstreamClient.Listener listener;
@@ -62,7 +61,6 @@
       Clock clock,
       ConnectionPool pool,
       UpstreamConnector connector,
-      double drainGraceMillis,
       FullHttpRequest request,
       double deadline,
       UpstreamClient.Listener listener) {
@@ -70,7 +68,6 @@
     this.clock = clock;
     this.pool = pool;
     this.connector = connector;
-    this.drainGraceMillis = drainGraceMillis;
     this.request = request;
     this.deadline = deadline;
     this.listener = listener;
@@ -118,7 +115,7 @@
     } else if (!listener.isStillWanted()) {
       abort(AttemptOutcome.NOT_SENT);
     } else if (state == State.CONNECTING) {
-      // The listener may have cancelled the attempt when it was asked.
+      // Not if the listener, when it was asked, has ended the attempt.
       write(established);
     }
   }
@@ -138,7 +135,7 @@
     idleMillis = acquired.idleMillis(now);
     // Guards against an endpoint that was replaced meanwhile: another one may have its address.
     boolean isCurrent = endpoint.isSameProcess(acquired.entry());
-    if (now >= deadline || !isCurrent || !endpoint.acceptsRequests(now, drainGraceMillis)) {
+    if (now >= deadline || !isCurrent || !endpoint.acceptsRequests(now)) {
       pool.release(acquired, endpoint);
       finish(AttemptOutcome.CONNECT_FAILED, null);
       return;
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamClient.java
@@ -87,15 +87,7 @@
   public UpstreamAttempt send(
       long endpointId, FullHttpRequest request, double deadline, Listener listener) {
     UpstreamAttempt attempt =
-        new UpstreamAttempt(
-            loop,
-            clock,
-            pool,
-            connector,
-            settings.rules().drainGraceMillis(),
-            request,
-            deadline,
-            listener);
+        new UpstreamAttempt(loop, clock, pool, connector, request, deadline, listener);
     pool.find(endpointId).ifPresentOrElse(attempt::start, attempt::endpointUnknown);
     return attempt;
   }
@@ -123,12 +115,12 @@
     pool.sweep(clock.now());
   }
 
-  /** The options in use. */
+  /** For tests: the options in use. */
   public UpstreamClientOptions options() {
     return options;
   }
 
-  /** Replaces the options, and forgets what was measured on connections so far. */
+  /** For tests: replaces the options, and forgets what was measured on connections so far. */
   public void useOptions(UpstreamClientOptions newOptions) {
     options = newOptions;
     pool.useOptions(newOptions);
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
@@ -19,14 +19,21 @@
   /** The idle connections, the longest idle first. */
   private final Deque<UpstreamConnection> idleConnections = new ArrayDeque<>();
 
+  private final double writeGraceMillis;
   private Entry entry;
   private EndpointState state = EndpointState.READY;
 
   /** When the endpoint was notified that it is no longer ready; unused while it is. */
   private double notifiedAt;
 
-  UpstreamEndpoint(Entry entry) {
+  /**
+   * Starts ready and without connections.
+   *
+   * @param drainGraceMillis how long after the notification a draining endpoint accepts requests
+   */
+  UpstreamEndpoint(Entry entry, double drainGraceMillis) {
     this.entry = entry;
+    writeGraceMillis = WRITE_GRACE_SHARE * drainGraceMillis;
   }
 
   /** The latest entry of the endpoint list; it stays after a removal. */
@@ -72,8 +79,8 @@
   }
 
   /** Whether a request may still be written: the endpoint is ready or early in its drain grace. */
-  boolean acceptsRequests(double now, double drainGraceMillis) {
-    return isReady() || now < notifiedAt + WRITE_GRACE_SHARE * drainGraceMillis;
+  boolean acceptsRequests(double now) {
+    return isReady() || now < notifiedAt + writeGraceMillis;
   }
 
   /** Whether the endpoint was removed before the given time and has no connection left. */
