--- a/src/main/java/loadbalancer/proxy/upstream/ConnectTimeEstimate.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ConnectTimeEstimate.java
@@ -4,8 +4,8 @@
 
 /**
  * The median time in which connections are established, and the delay after which a late connect is
- * retried: one lost or late handshake would else cost the whole connect timeout. Confined to the
- * event loop.
+ * retried: one lost or late handshake would otherwise cost the full connect timeout. Confined to
+ * the event loop.
  */
 final class ConnectTimeEstimate {
 
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
@@ -14,8 +14,8 @@
 import loadbalancer.proxy.protocol.ProtocolHeaders;
 
 /**
- * One request on its way to one endpoint. It is written once at most; whatever breaks is an outcome
- * that the listener is told once. Confined to the event loop.
+ * One request on its way to one endpoint. It is written once at most; every failure is an outcome,
+ * and the listener is notified of exactly one. Confined to the event loop.
  */
 public final class UpstreamAttempt {
 
@@ -26,7 +26,7 @@
     WRITING,
     /** All bytes are written: the request may have run. */
     WRITTEN,
-    /** The listener has been told the outcome. */
+    /** Over; the listener is notified of the outcome. */
     DONE
   }
 
@@ -115,7 +115,7 @@
     } else if (!listener.isStillWanted()) {
       abort(AttemptOutcome.NOT_SENT);
     } else if (state == State.CONNECTING) {
-      // Not if the listener, when it was asked, has ended the attempt.
+      // Checked again: the listener may have ended the attempt when it was asked.
       write(established);
     }
   }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -173,7 +173,7 @@
     stallDetector.messageCompleted(moreReceived);
   }
 
-  /** A success before the request's last byte is written answers another request. */
+  /** Guards against a success for another request: it arrives before this one is written. */
   private boolean isValid(FullHttpResponse response) {
     return attempt != null
         && response.decoderResult().isSuccess()
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnector.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnector.java
@@ -74,8 +74,8 @@
   }
 
   /**
-   * Opens a connection for an attempt, which is told how that ends; false if there is no descriptor
-   * for it, in which case the attempt is told nothing.
+   * Opens a connection for an attempt, which is notified of the result; false, without
+   * notification, if there is no descriptor for it.
    */
   boolean connect(Entry entry, UpstreamAttempt attempt) {
     if (!descriptorBudget.tryReserveForUpstream(clock.now())) {
--- a/src/test/java/loadbalancer/proxy/upstream/ConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/ConnectionPoolTest.java
@@ -2,16 +2,16 @@
 
 import static loadbalancer.proxy.upstream.UpstreamTestSupport.announceEndpoint;
 import static loadbalancer.proxy.upstream.UpstreamTestSupport.awaitInputRead;
+import static loadbalancer.proxy.upstream.UpstreamTestSupport.sendEndpointChange;
+import static loadbalancer.proxy.upstream.UpstreamTestSupport.useOptions;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
 import loadbalancer.model.AttemptOutcome;
-import loadbalancer.model.EndpointUpdateType;
 import loadbalancer.proxy.HttpPeer;
 import loadbalancer.proxy.ProxyFixture;
-import loadbalancer.proxy.ScriptedPolicy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -51,11 +51,7 @@
         both[i].write(ProxyFixture.okResponse("a" + i));
         assertEquals("a" + i, client.read().body());
       }
-      proxy.server.onLoop(
-          (frontend, upstreams) -> {
-            upstreams.useOptions(upstreams.options().withReuseDelayMillis(0));
-            return null;
-          });
+      useOptions(proxy, options -> options.withReuseDelayMillis(0));
       client.write(ProxyFixture.idempotentRequest("r2", "10"));
       assertEquals("r2", both[1].read().header("X-Txn"));
       assertEquals(0, proxy.upstreams.get(0).pendingConnections());
@@ -110,11 +106,7 @@
 
   /** Makes every idle time too long for a connection to be fresh. */
   private static void treatNoConnectionAsFresh(ProxyFixture proxy) throws InterruptedException {
-    proxy.server.onLoop(
-        (frontend, upstreams) -> {
-          upstreams.useOptions(upstreams.options().withFreshIdleMillis(0));
-          return null;
-        });
+    useOptions(proxy, options -> options.withFreshIdleMillis(0));
   }
 
   @ParameterizedTest
@@ -154,14 +146,8 @@
       client.write(ProxyFixture.idempotentRequest("1", "10"));
       HttpPeer old = proxy.upstreams.get(1).accept();
       old.read();
-      watch.read();
-      watch.write(
-          ProxyFixture.okResponse(
-              ProxyFixture.endpointList(
-                  43,
-                  false,
-                  ProxyFixture.endpointEntry(9, proxy.upstreams.get(0).address(), "up"))));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(proxy.policy.updates));
+      sendEndpointChange(
+          proxy, watch, 43, ProxyFixture.endpointEntry(9, proxy.upstreams.get(0).address(), "up"));
       old.write(ProxyFixture.okResponse("before"));
       assertEquals("before", client.read().body());
       assertTrue(old.isClosedByPeer());
@@ -177,12 +163,8 @@
       HttpPeer watch = announceEndpoint(proxy, ProxyFixture.endpointEntry(9, "127.0.0.1:9", "up"));
       String[] states = {"draining", "removed"};
       for (int i = 0; i < states.length; i++) {
-        watch.read();
-        watch.write(
-            ProxyFixture.okResponse(
-                ProxyFixture.endpointList(
-                    43 + i, false, ProxyFixture.endpointEntry(9, "127.0.0.1:9", states[i]))));
-        assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(proxy.policy.updates));
+        sendEndpointChange(
+            proxy, watch, 43 + i, ProxyFixture.endpointEntry(9, "127.0.0.1:9", states[i]));
       }
       int endpointCount =
           proxy.server.onLoop(
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamClientTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamClientTest.java
@@ -1,6 +1,7 @@
 package loadbalancer.proxy.upstream;
 
 import static loadbalancer.proxy.upstream.UpstreamTestSupport.awaitInputRead;
+import static loadbalancer.proxy.upstream.UpstreamTestSupport.useOptions;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -99,11 +100,7 @@
       // A large body that nobody reads fills the buffers, so it can't be written completely.
       proxy.upstreams.set(0, new ScriptedListener(1_024));
       proxy.start();
-      proxy.server.onLoop(
-          (frontend, upstreams) -> {
-            upstreams.useOptions(upstreams.options().withSendBufferBytes(4_096));
-            return null;
-          });
+      useOptions(proxy, options -> options.withSendBufferBytes(4_096));
       String body = "b".repeat(ProtocolHeaders.MAX_BODY_BYTES);
       HttpPeer client = proxy.connectClient();
       client.write(ProxyFixture.atMostOnceRequest("1", body));
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectTest.java
@@ -2,13 +2,14 @@
 
 import static loadbalancer.proxy.upstream.UpstreamTestSupport.announceEndpoint;
 import static loadbalancer.proxy.upstream.UpstreamTestSupport.awaitInputRead;
+import static loadbalancer.proxy.upstream.UpstreamTestSupport.sendEndpointChange;
+import static loadbalancer.proxy.upstream.UpstreamTestSupport.useOptions;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import loadbalancer.model.AttemptOutcome;
-import loadbalancer.model.EndpointUpdateType;
 import loadbalancer.proxy.FullBacklogListener;
 import loadbalancer.proxy.HttpPeer;
 import loadbalancer.proxy.ProxyFixture;
@@ -56,12 +57,7 @@
       proxy.policy.onStart = () -> proxy.policy.actions.watchEndpoints(true);
       proxy.start();
       // As after many fast connects: the first connect is retried after 10 ms.
-      proxy.server.onLoop(
-          (frontend, upstreams) -> {
-            upstreams.useOptions(
-                upstreams.options().withInitialConnectMillis(0.1).withReuseDelayMillis(0));
-            return null;
-          });
+      useOptions(proxy, options -> options.withInitialConnectMillis(0.1).withReuseDelayMillis(0));
       announceEndpoint(proxy, ProxyFixture.endpointEntry(9, full.address(), "up"));
       HttpPeer client = proxy.connectClient();
       client.write(ProxyFixture.idempotentRequest("1", "9"));
@@ -105,7 +101,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {50, 1_800})
-  void doesNotWriteAfterTheDrainGrace(int grace) throws Exception {
+  void doesNotWriteToADrainingEndpointAfterTheWriteGrace(int grace) throws Exception {
     try (ProxyFixture proxy = new ProxyFixture();
         FullBacklogListener full = new FullBacklogListener()) {
       proxy.connectTimeoutMillis = 15_000;
@@ -117,12 +113,8 @@
       HttpPeer client = proxy.connectClient();
       client.write(ProxyFixture.atMostOnceRequest("1", "x"));
       awaitInputRead(proxy);
-      watch.read();
-      watch.write(
-          ProxyFixture.okResponse(
-              ProxyFixture.endpointList(
-                  43, false, ProxyFixture.endpointEntry(9, full.address(), "draining"))));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(proxy.policy.updates));
+      sendEndpointChange(
+          proxy, watch, 43, ProxyFixture.endpointEntry(9, full.address(), "draining"));
       // The kernel retries the handshake only after a second, when the write grace has passed.
       try (HttpPeer late = full.acceptAfterBacklog()) {
         assertTrue(late.isClosedByPeer(), "the request was written after the grace");
@@ -196,21 +188,11 @@
       HttpPeer watch = announceEndpoint(proxy, ProxyFixture.endpointEntry(9, full.address(), "up"));
       proxy.connectClient().write(ProxyFixture.atMostOnceRequest("1", "x"));
       awaitInputRead(proxy);
-      watch.read();
       // The endpoint drains and returns under its id at another address.
-      watch.write(
-          ProxyFixture.okResponse(
-              ProxyFixture.endpointList(
-                  43, false, ProxyFixture.endpointEntry(9, full.address(), "draining"))));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(proxy.policy.updates));
-      watch.read();
-      watch.write(
-          ProxyFixture.okResponse(
-              ProxyFixture.endpointList(
-                  44,
-                  false,
-                  ProxyFixture.endpointEntry(9, proxy.upstreams.get(0).address(), "up"))));
-      assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(proxy.policy.updates));
+      sendEndpointChange(
+          proxy, watch, 43, ProxyFixture.endpointEntry(9, full.address(), "draining"));
+      sendEndpointChange(
+          proxy, watch, 44, ProxyFixture.endpointEntry(9, proxy.upstreams.get(0).address(), "up"));
       try (HttpPeer late = full.acceptAfterBacklog()) {
         assertTrue(late.isClosedByPeer(), "the request was written to the old address");
       }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamResponseTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamResponseTest.java
@@ -1,6 +1,7 @@
 package loadbalancer.proxy.upstream;
 
 import static loadbalancer.proxy.upstream.UpstreamTestSupport.awaitInputRead;
+import static loadbalancer.proxy.upstream.UpstreamTestSupport.useOptions;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -58,11 +59,7 @@
     try (ProxyFixture proxy = new ProxyFixture()) {
       proxy.upstreams.set(0, new ScriptedListener(1_024));
       proxy.start();
-      proxy.server.onLoop(
-          (frontend, upstreams) -> {
-            upstreams.useOptions(upstreams.options().withSendBufferBytes(4_096));
-            return null;
-          });
+      useOptions(proxy, options -> options.withSendBufferBytes(4_096));
       HttpPeer client = proxy.connectClient();
       client.write(ProxyFixture.atMostOnceRequest("1", "b".repeat(ProtocolHeaders.MAX_BODY_BYTES)));
       // The endpoint reads nothing, so the request can't be written completely.
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamTestSupport.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamTestSupport.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import java.util.function.UnaryOperator;
 import loadbalancer.model.EndpointUpdateType;
 import loadbalancer.proxy.HttpPeer;
 import loadbalancer.proxy.ProxyFixture;
@@ -28,4 +29,22 @@
     assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(proxy.policy.updates));
     return watch;
   }
+
+  /** Answers the next poll of a watch with one changed endpoint; returns once that is applied. */
+  static void sendEndpointChange(ProxyFixture proxy, HttpPeer watch, long version, String entry)
+      throws Exception {
+    watch.read();
+    watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(version, false, entry)));
+    assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(proxy.policy.updates));
+  }
+
+  /** Changes the options of the proxy's upstream client. */
+  static void useOptions(ProxyFixture proxy, UnaryOperator<UpstreamClientOptions> change)
+      throws InterruptedException {
+    proxy.server.onLoop(
+        (frontend, upstreams) -> {
+          upstreams.useOptions(change.apply(upstreams.options()));
+          return null;
+        });
+  }
 }
