--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
@@ -14,8 +14,8 @@
 import loadbalancer.proxy.protocol.ProtocolHeaders;
 
 /**
- * One request on its way to one endpoint. It is written once at most; whatever breaks is an outcome
- * that the listener is told once. Confined to the event loop.
+ * One request on its way to one endpoint. It is written once at most; every failure is an outcome,
+ * and the listener is notified of exactly one. Confined to the event loop.
  */
 public final class UpstreamAttempt {
 
@@ -26,7 +26,7 @@
     WRITING,
     /** All bytes are written: the request may have run. */
     WRITTEN,
-    /** The listener has been told the outcome. */
+    /** Over; the listener is notified of the outcome. */
     DONE
   }
 
@@ -36,7 +36,6 @@
   private final Clock clock;
   private final ConnectionPool pool;
   private final UpstreamConnector connector;
-  private final double drainGraceMillis;
   private final FullHttpRequest request;
   private final double deadline;
   private final UpstreamClient.Listener listener;
@@ -62,7 +61,6 @@
       Clock clock,
       ConnectionPool pool,
       UpstreamConnector connector,
-      double drainGraceMillis,
       FullHttpRequest request,
       double deadline,
       UpstreamClient.Listener listener) {
@@ -70,7 +68,6 @@
     this.clock = clock;
     this.pool = pool;
     this.connector = connector;
-    this.drainGraceMillis = drainGraceMillis;
     this.request = request;
     this.deadline = deadline;
     this.listener = listener;
@@ -118,7 +115,7 @@
     } else if (!listener.isStillWanted()) {
       abort(AttemptOutcome.NOT_SENT);
     } else if (state == State.CONNECTING) {
-      // The listener may have cancelled the attempt when it was asked.
+      // Checked again: the listener may have ended the attempt when it was asked.
       write(established);
     }
   }
@@ -138,7 +135,7 @@
     idleMillis = acquired.idleMillis(now);
     // Guards against an endpoint that was replaced meanwhile: another one may have its address.
     boolean isCurrent = endpoint.isSameProcess(acquired.entry());
-    if (now >= deadline || !isCurrent || !endpoint.acceptsRequests(now, drainGraceMillis)) {
+    if (now >= deadline || !isCurrent || !endpoint.acceptsRequests(now)) {
       pool.release(acquired, endpoint);
       finish(AttemptOutcome.CONNECT_FAILED, null);
       return;
