--- a/src/main/java/loadbalancer/proxy/frontend/RequestValidator.java
+++ b/src/main/java/loadbalancer/proxy/frontend/RequestValidator.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.regex.Pattern;
+import loadbalancer.model.ClientRequest;
 import loadbalancer.model.Idempotency;
 import loadbalancer.model.RequestClass;
 import loadbalancer.proxy.config.ProxyConfig;
@@ -19,6 +20,9 @@
 
   private static final int MILLIS_PER_SECOND = 1_000;
 
+  /** Units of the cost estimate on the wire in one unit of {@link ClientRequest#costMillis}. */
+  private static final int ESTIMATE_UNITS_PER_COST_UNIT = 1_000;
+
   /**
    * Time before the client's deadline that is reserved for the final response to reach it, and the
    * largest share of the client's time that the reserve may take. While the event loop is late, so
@@ -73,7 +77,7 @@
         tenant,
         parseKey(HeaderValues.single(headers, "Cookie")),
         arrivedAt + withoutResponseReserve(timeoutMillis, lateness),
-        Double.isNaN(costEstimate) ? 0 : costEstimate / MILLIS_PER_SECOND,
+        Double.isNaN(costEstimate) ? 0 : costEstimate / ESTIMATE_UNITS_PER_COST_UNIT,
         "1".equals(HeaderValues.single(headers, ProtocolHeaders.CLIENT_RETRY)),
         !isGet(request));
   }
--- a/src/main/java/loadbalancer/proxy/frontend/ValidatedRequest.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ValidatedRequest.java
@@ -10,7 +10,7 @@
  * @param tenant index of the tenant in the configuration
  * @param key what the request is about; 0 for none
  * @param deadline when the response has to be ready, in milliseconds of the event loop's clock
- * @param cost expected work in seconds of a standard core; 0 if unknown
+ * @param cost expected work, as {@link ClientRequest#costMillis}; 0 if unknown
  * @param clientRetry whether the client has sent the request before
  * @param write whether the request may change state
  */
