--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryCall.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryCall.java
@@ -167,7 +167,7 @@
     try {
       update = parse(response);
     } catch (IOException | IllegalArgumentException e) {
-      ProxyLogger.LOGGER.warning("discovery response rejected: " + e.getMessage());
+      ProxyLogger.LOGGER.warning("discovery response rejected: error=" + e.getMessage());
       fail();
       return;
     }
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryResponseHandler.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryResponseHandler.java
@@ -45,7 +45,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      ProxyLogger.LOGGER.warning("discovery connection failed: " + cause);
+      ProxyLogger.LOGGER.warning("discovery connection failed: error=" + cause);
     }
     failPendingCall();
     context.close();
--- a/src/main/java/loadbalancer/proxy/eventloop/DescriptorBudget.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/DescriptorBudget.java
@@ -60,7 +60,7 @@
    *
    * @param now the time in milliseconds
    */
-  public boolean tryReserveForUpstream(double now) {
+  public boolean hasRoomForUpstream(double now) {
     return openConnections < maxConnections - maxConnections / CLIENT_SHARE_DIVISOR || evict(now);
   }
 
--- a/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
@@ -384,7 +384,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      ProxyLogger.LOGGER.warning("client connection failed: " + cause);
+      ProxyLogger.LOGGER.warning("client connection failed: error=" + cause);
     }
     ctx.close();
   }
--- a/src/main/java/loadbalancer/proxy/frontend/Frontend.java
+++ b/src/main/java/loadbalancer/proxy/frontend/Frontend.java
@@ -210,7 +210,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       ctx.channel().config().setAutoRead(false);
-      ProxyLogger.LOGGER.warning("could not accept a client: " + cause);
+      ProxyLogger.LOGGER.warning("client accept failed: error=" + cause);
     }
   }
 
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnector.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnector.java
@@ -78,7 +78,7 @@
    * notification, if there is no descriptor for it.
    */
   boolean connect(Entry entry, UpstreamAttempt attempt) {
-    if (!descriptorBudget.tryReserveForUpstream(clock.now())) {
+    if (!descriptorBudget.hasRoomForUpstream(clock.now())) {
       return false;
     }
     ChannelFuture connecting = bootstrap.connect(entry.address());
