--- a/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -14,7 +14,8 @@
  */
 final class AdmissionController {
 
-  private static final int CLIENT_TIER = 0;
+  /** The tier that clients reach. */
+  static final int CLIENT_TIER = 0;
 
   /** Longest advised wait as a share of the latency objective: the client should still be there. */
   private static final double MAX_RETRY_AFTER_OBJECTIVE_SHARE = 0.5;
--- a/src/main/java/loadbalancer/policy/EndpointCost.java
+++ b/src/main/java/loadbalancer/policy/EndpointCost.java
@@ -18,7 +18,7 @@
   /** Added for each millisecond that the oldest attempt is overdue. */
   private static final double OVERDUE_WEIGHT = 4;
 
-  /** Growth across zones, times the root of what that costs: it must stay possible. */
+  /** Growth across zones, for the square root of their cost in points: it must stay possible. */
   private static final double CROSS_ZONE_GROWTH = 400;
 
   /** A delay or failure rate offsets the cross-zone penalty near its limit only, not at half. */
--- a/src/main/java/loadbalancer/policy/EndpointSelector.java
+++ b/src/main/java/loadbalancer/policy/EndpointSelector.java
@@ -15,6 +15,8 @@
   private final SlowStart slowStart;
   private final SplittableRandom random;
   private boolean queueingLimitReached;
+
+  /** From the selection before: decayed attempts for each ready endpoint. */
   private double attemptsPerEndpoint;
 
   EndpointSelector(
--- a/src/main/java/loadbalancer/policy/EndpointStatistics.java
+++ b/src/main/java/loadbalancer/policy/EndpointStatistics.java
@@ -155,12 +155,12 @@
     lateAt = now;
   }
 
-  /** Whether the last attempt that told of overload, or of none, was late. */
+  /** Whether the last attempt that was judged for overload was late. */
   boolean wasLate() {
     return late;
   }
 
-  /** When that was; negative infinity if never. */
+  /** When that attempt was judged; negative infinity if never. */
   double latenessKnownAtMillis() {
     return lateAt;
   }
--- a/src/main/java/loadbalancer/policy/KeyedRequestQueue.java
+++ b/src/main/java/loadbalancer/policy/KeyedRequestQueue.java
@@ -3,6 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
+import loadbalancer.model.AttemptOutcome;
 
 /**
  * Orders the requests of one key: they are sent one at a time, in order of arrival. A request
@@ -38,6 +39,16 @@
             .sum();
   }
 
+  /** Keeps the key reserved after an attempt that was abandoned and may still be running. */
+  static void attemptFinished(
+      InFlightRequest request, AttemptOutcome outcome, double settleMillis, double now) {
+    if (outcome == AttemptOutcome.TIMEOUT
+        || outcome == AttemptOutcome.RESET
+        || outcome == AttemptOutcome.CANCELLED) {
+      request.setSettlesAtMillis(now + settleMillis);
+    }
+  }
+
   /** Whether an abandoned attempt may still be running, so that the key stays reserved. */
   static boolean isSettling(InFlightRequest request, double now) {
     return request.keyQueue() != null && now < request.settlesAtMillis();
--- a/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
+++ b/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
@@ -25,7 +25,7 @@
 
   private final PolicyActions actions;
   private final Map<Long, InFlightRequest> requests = new HashMap<>();
-  private final KeyedRequestQueue keyQueue = new KeyedRequestQueue();
+  private final KeyedRequestQueue keyedRequests = new KeyedRequestQueue();
   private final PendingRequests pending;
   private final RetryBudget retryBudget = new RetryBudget();
   private final RetryPolicy retryPolicy = new RetryPolicy(retryBudget);
@@ -98,7 +98,7 @@
       return;
     }
     slowStart.grantBudget(request, endpoints.ready(), subset.stride(), now);
-    keyQueue.add(request);
+    keyedRequests.add(request);
     dispatch(request, now);
   }
 
@@ -237,11 +237,8 @@
     attempt.finish(outcome);
     endpoint.attemptFinished(attempt);
     attempt.request().attemptFinished();
-    if (outcome == AttemptOutcome.TIMEOUT
-        || outcome == AttemptOutcome.RESET
-        || outcome == AttemptOutcome.CANCELLED) {
-      attempt.request().setSettlesAtMillis(now + settings.rules().keySettleMillis());
-    }
+    KeyedRequestQueue.attemptFinished(
+        attempt.request(), outcome, settings.rules().keySettleMillis(), now);
     AttemptEvidence.recordOutcome(attempt, result, now);
     admission.attemptFinished(attempt, result, endpoints.ready(), now);
     if (outcome == AttemptOutcome.OK && attempt.number() > 0) {
@@ -253,7 +250,7 @@
 
   // ---- Final responses
 
-  /** Rejects a request where a repeat is safe, and otherwise fails it. */
+  /** Rejects a request where a repeat by its client is safe, and otherwise fails it. */
   private void finishUnserved(InFlightRequest request, double now) {
     if (RetryPolicy.isSafeToRepeat(request)) {
       actions.reject(request.id(), admission.retryAfterMillis(request));
@@ -284,7 +281,7 @@
     if (KeyedRequestQueue.isSettling(request, now)) {
       actions.scheduleTimer(TimerToken.queue(request.id()), request.settlesAtMillis());
     } else if (requests.remove(request.id()) != null) {
-      InFlightRequest next = keyQueue.release(request);
+      InFlightRequest next = keyedRequests.release(request);
       if (next != null) {
         dispatch(next, now);
       }
--- a/src/main/java/loadbalancer/policy/OverloadDetector.java
+++ b/src/main/java/loadbalancer/policy/OverloadDetector.java
@@ -15,7 +15,9 @@
   /** An attempt is late after this share of the objective, plus the value of a late response. */
   private static final double LATE_OBJECTIVE_SHARE = 0.5;
 
+  /** Change of the level in a second of late attempts, and in one of timely ones. */
   private static final double LEVEL_RISE_PER_SECOND = 0.9;
+
   private static final double LEVEL_FALL_PER_SECOND = 0.22;
   private static final double MAX_LEVEL = 0.95;
 
--- a/src/main/java/loadbalancer/policy/PendingRequests.java
+++ b/src/main/java/loadbalancer/policy/PendingRequests.java
@@ -28,7 +28,9 @@
         - KeyedRequestQueue.expectedWaitMillis(request);
   }
 
-  /** Sets until when the request may stay queued. */
+  /**
+   * Sets until when the request may stay queued: part of its time, and not past the latest send.
+   */
   static void limitQueueTime(InFlightRequest request, double latestSendMillis) {
     double arrivedAt = request.arrivedAtMillis();
     request.setQueuedUntilMillis(
--- a/src/main/java/loadbalancer/policy/QueueingLimit.java
+++ b/src/main/java/loadbalancer/policy/QueueingLimit.java
@@ -9,8 +9,6 @@
  */
 final class QueueingLimit {
 
-  private static final int CLIENT_TIER = 0;
-
   /** Share of its remaining time for a request of no value; the most valuable may use all. */
   private static final double MIN_TIME_SHARE = 0.5;
 
@@ -24,8 +22,9 @@
     this.value = value;
   }
 
+  /** The longest delay for a request: part of its remaining time, by its value per work. */
   double maxDelayMillis(InFlightRequest request, double now) {
-    if (tier > CLIENT_TIER) {
+    if (tier > AdmissionController.CLIENT_TIER) {
       return Double.MAX_VALUE;
     }
     double highest = 0;
--- a/src/main/java/loadbalancer/policy/RequestClassValue.java
+++ b/src/main/java/loadbalancer/policy/RequestClassValue.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy;
 
-/** What the arriving requests of a class are worth, and the work that they ask for. */
+/** The value of serving the arriving requests of a class, and the work that they need. */
 final class RequestClassValue {
 
   /** Least traffic share that a class is reckoned with: keeps ratios finite. */
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -18,10 +18,10 @@
  */
 final class SlowStart {
 
-  /** Share of the allowed multiple of its capacity that an endpoint's budget uses. */
-  private static final double BUDGET_MARGIN = 0.3;
+  /** Share of the multiple at which an endpoint collapses that its budget uses. */
+  private static final double COLLAPSE_BUDGET_SHARE = 0.3;
 
-  /** Share of the open endpoints that counts as warm at least: limits the grant of a cold start. */
+  /** One part in so many of the open endpoints counts as warm: limits the grants when none is. */
   private static final double MIN_WARM_DIVISOR = 2.0;
 
   /** Divides how much of the budget moves into the subset: one instance may have most traffic. */
@@ -85,7 +85,7 @@
             .toList();
     double warm = open.stream().mapToDouble(endpoint -> warmUpFraction(endpoint, now)).sum();
     double part =
-        Math.min(1, BUDGET_MARGIN * settings.rules().collapseMultiple())
+        Math.min(1, COLLAPSE_BUDGET_SHARE * settings.rules().collapseMultiple())
             / Math.max(warm, open.size() / MIN_WARM_DIVISOR);
     double inside =
         1
--- a/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -166,13 +166,15 @@
       for (int i = 100; i < 200; i++) {
         harness.request(i, 0);
       }
-      int dear = harness.sentAttempts.size() - cheap;
+      int valuable = harness.sentAttempts.size() - cheap;
       if (tier == 0) {
-        assertTrue(cheap > 10 && dear > 0 && cheap + dear <= 50, cheap + " and " + dear + " sent");
-        assertEquals(200 - cheap - dear, harness.rejected.size());
+        assertTrue(
+            cheap > 10 && valuable > 0 && cheap + valuable <= 50,
+            cheap + " and " + valuable + " sent");
+        assertEquals(200 - cheap - valuable, harness.rejected.size());
       } else {
         assertEquals(100, cheap);
-        assertEquals(100, dear);
+        assertEquals(100, valuable);
       }
     }
   }
