--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
@@ -53,7 +53,7 @@
   /** When the attempt got its connection; unused before. */
   private double writeStartedAt;
 
-  /** The connection's idle time when it was reused; empty for a new connection. */
+  /** The idle time of a pooled connection when it was taken; empty for a new connection. */
   private OptionalDouble idleMillis = OptionalDouble.empty();
 
   UpstreamAttempt(
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -33,7 +33,7 @@
   private final UpstreamResponseDecoder decoder = new UpstreamResponseDecoder(this);
   private final ResponseStallDetector stallDetector;
 
-  /** When the connection last became idle; empty while it has carried no request. */
+  /** When the connection last became idle; empty until it is first pooled. */
   private OptionalDouble idleSince = OptionalDouble.empty();
 
   /** The endpoint as it was when the connection was opened; null until it is established. */
@@ -95,7 +95,7 @@
     return idleSince.getAsDouble();
   }
 
-  /** How many milliseconds the connection was idle before this request; empty for its first. */
+  /** How many milliseconds the connection has been idle; empty until it is first pooled. */
   OptionalDouble idleMillis(double now) {
     return idleSince.isPresent()
         ? OptionalDouble.of(now - idleSince.getAsDouble())
