--- a/src/main/java/loadbalancer/benchmark/Arguments.java
+++ b/src/main/java/loadbalancer/benchmark/Arguments.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** Bounds of what a command is given; a value outside them is one plain line. */
+/** Checks option values; a value out of bounds throws {@link BenchmarkException}. */
 final class Arguments {
 
   private Arguments() {}
 
-  static void within(String name, double value, double least, double most) {
+  static void requireBetween(String name, double value, double least, double most) {
     if (!(value >= least && value <= most)) {
       throw new BenchmarkException(
           name
@@ -20,8 +20,8 @@
     }
   }
 
-  static void each(String name, List<Integer> values, int least, int most) {
-    values.forEach(value -> within(name, value, least, most));
+  static void requireEachBetween(String name, List<Integer> values, int least, int most) {
+    values.forEach(value -> requireBetween(name, value, least, most));
   }
 
   private static String plain(double value) {
--- a/src/main/java/loadbalancer/benchmark/BalancerProcess.java
+++ b/src/main/java/loadbalancer/benchmark/BalancerProcess.java
@@ -18,29 +18,27 @@
 import java.util.regex.Pattern;
 
 /**
- * A balancer started by the words of the deploy file's {@code run}, in a process of its own.
- * Whatever ends the scale run, these processes end with it.
+ * A balancer in a process of its own, started by the deploy file's {@code run}. The processes end
+ * with the benchmark.
  */
 final class BalancerProcess implements AutoCloseable {
 
   /** How long a balancer may take to be ready, by the deployment page. */
-  static final double READY_SECONDS = 30;
+  static final double READY_TIMEOUT_SECONDS = 30;
 
-  private static final Path DEPLOY = Path.of("deploy/balancer.toml");
-  private static final Pattern RUN = Pattern.compile("(?m)^run = \"(.*)\"$");
+  private static final Path DEPLOY_FILE = Path.of("deploy/balancer.toml");
+  private static final Pattern RUN_COMMAND = Pattern.compile("(?m)^run = \"(.*)\"$");
   private static final Set<Process> RUNNING = ConcurrentHashMap.newKeySet();
-  private static final long LOOK_MS = 10;
-  private static final int CONNECT_MS = 200;
-  private static final int ANSWER_MS = 10_000;
-  private static final double NANOS_PER_MS = 1e6;
-  private static final double MS_PER_TICK = 10;
+  private static final long POLL_INTERVAL_MILLIS = 10;
+  private static final int CONNECT_TIMEOUT_MILLIS = 200;
+  private static final int RESPONSE_TIMEOUT_MILLIS = 10_000;
+  private static final double NANOS_PER_MILLI = 1e6;
+  private static final double MILLIS_PER_TICK = 10;
 
-  /**
-   * Places of the processor time in user mode and in the system, counted after the program's name.
-   */
-  private static final int USER = 11;
+  /** Indexes of the processor times in /proc/PID/stat, counted after the program's name. */
+  private static final int USER_TIME_FIELD = 11;
 
-  private static final int SYSTEM = 12;
+  private static final int SYSTEM_TIME_FIELD = 12;
 
   static {
     Runtime.getRuntime()
@@ -78,28 +76,29 @@
     RUNNING.add(process);
   }
 
-  /** The words that start one, by the deploy file. */
-  static String run() throws IOException {
-    Matcher run = RUN.matcher(Files.exists(DEPLOY) ? Files.readString(DEPLOY) : "");
+  /** Reads the shell command that starts a balancer from the deploy file. */
+  static String readRunCommand() throws IOException {
+    Matcher run =
+        RUN_COMMAND.matcher(Files.exists(DEPLOY_FILE) ? Files.readString(DEPLOY_FILE) : "");
     if (!run.find()) {
       throw new BenchmarkException(
-          "found no run in " + DEPLOY + ": start it from the root of the project");
+          "found no run in " + DEPLOY_FILE + ": start it from the root of the project");
     }
     return run.group(1).replace("\\\"", "\"");
   }
 
-  /** Starts so many at once and returns once all are ready; one that isn't ends the scale run. */
+  /** Starts balancers at once and returns when all are ready; throws if one fails to be. */
   static List<BalancerProcess> start(
       int count, String run, DiscoveryStandIn discovery, long seed, int tier, int zones)
       throws IOException, InterruptedException {
-    InetSocketAddress asked = discovery.address(DiscoveryStandIn.REAL);
+    InetSocketAddress asked = discovery.address(DiscoveryStandIn.REAL_BALANCERS);
     return start(
         count,
         run,
         (position, listen) -> Fleet.config(listen, asked, seed + position, count, tier, zones));
   }
 
-  /** The same with configurations of the caller's own. */
+  /** The same with other configurations. */
   static List<BalancerProcess> start(int count, String run, Configuration configuration)
       throws IOException, InterruptedException {
     List<BalancerProcess> balancers = new ArrayList<>();
@@ -113,7 +112,7 @@
         for (BalancerProcess balancer : balancers) {
           waiting |= !balancer.isReady();
         }
-        TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+        TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
       }
     } catch (IOException | InterruptedException | RuntimeException e) {
       balancers.forEach(BalancerProcess::close);
@@ -126,14 +125,14 @@
     if (readyMillis > 0) {
       return true;
     }
-    double millis = (System.nanoTime() - startedAt) / NANOS_PER_MS;
+    double millis = (System.nanoTime() - startedAt) / NANOS_PER_MILLI;
     checkAlive();
-    if (millis > READY_SECONDS * 1_000) {
+    if (millis > READY_TIMEOUT_SECONDS * 1_000) {
       throw new BenchmarkException(
-          "a balancer is not ready after " + READY_SECONDS + " s: " + lastWords());
+          "a balancer is not ready after " + READY_TIMEOUT_SECONDS + " s: " + lastLogLine());
     }
-    try (Socket socket = health()) {
-      readyMillis = (System.nanoTime() - startedAt) / NANOS_PER_MS;
+    try (Socket socket = connectHealthy()) {
+      readyMillis = (System.nanoTime() - startedAt) / NANOS_PER_MILLI;
       readyCpuMillis = cpuMillis();
       return socket.isConnected();
     } catch (IOException e) {
@@ -141,32 +140,30 @@
     }
   }
 
-  /** One that has ended by itself ends the scale run. */
+  /** Throws if the process has ended by itself. */
   void checkAlive() throws IOException {
     if (!process.isAlive()) {
       throw new BenchmarkException(
-          "a balancer ended with status " + process.exitValue() + ": " + lastWords());
+          "a balancer ended with status " + process.exitValue() + ": " + lastLogLine());
     }
   }
 
-  private String lastWords() throws IOException {
+  private String lastLogLine() throws IOException {
     List<String> lines = Files.readAllLines(log);
-    return lines.isEmpty() ? "no word of it" : lines.get(lines.size() - 1);
+    return lines.isEmpty() ? "no log line" : lines.get(lines.size() - 1);
   }
 
-  /** Where it serves. */
+  /** The address that it listens on. */
   InetSocketAddress address() {
     return listen;
   }
 
-  /**
-   * A connection on which the balancer has answered that it is well; it is the caller's to close.
-   */
-  Socket health() throws IOException {
+  /** Opens a connection and makes a successful health check on it; the caller closes it. */
+  Socket connectHealthy() throws IOException {
     Socket socket = new Socket();
     try {
-      socket.connect(listen, CONNECT_MS);
-      socket.setSoTimeout(ANSWER_MS);
+      socket.connect(listen, CONNECT_TIMEOUT_MILLIS);
+      socket.setSoTimeout(RESPONSE_TIMEOUT_MILLIS);
       socket
           .getOutputStream()
           .write(
@@ -192,18 +189,16 @@
     return readyCpuMillis;
   }
 
-  /** Processor time so far, in steps of 10 ms. */
+  /** Processor time so far in milliseconds, in steps of 10 ms. */
   double cpuMillis() throws IOException {
     checkAlive();
     String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
     String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-    return (Long.parseLong(fields[USER]) + Long.parseLong(fields[SYSTEM])) * MS_PER_TICK;
+    return (Long.parseLong(fields[USER_TIME_FIELD]) + Long.parseLong(fields[SYSTEM_TIME_FIELD]))
+        * MILLIS_PER_TICK;
   }
 
-  /**
-   * A figure of the system's in KB: VmRSS is held now, VmHWM was the most, RssAnon is nobody
-   * else's.
-   */
+  /** A value in KB of /proc/PID/status: VmRSS is resident, VmHWM its peak, RssAnon private. */
   double memoryKb(String name) throws IOException {
     checkAlive();
     return Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
--- a/src/main/java/loadbalancer/benchmark/BenchmarkException.java
+++ b/src/main/java/loadbalancer/benchmark/BenchmarkException.java
@@ -1,6 +1,6 @@
 package loadbalancer.benchmark;
 
-/** A scale run can't start or go on; the message is one plain line for whoever started it. */
+/** The benchmark can't start or go on; the message is one line for the command's user. */
 final class BenchmarkException extends RuntimeException {
 
   private static final long serialVersionUID = 1;
--- a/src/main/java/loadbalancer/benchmark/BenchmarkMain.java
+++ b/src/main/java/loadbalancer/benchmark/BenchmarkMain.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command line of the scale run. It ends by itself, at the latest when its time is over. */
+/** The benchmark's command line. It ends by itself, at the latest after {@code --limit}. */
 @Command(
     name = "load-balancer-benchmark",
     mixinStandardHelpOptions = true,
@@ -24,31 +24,31 @@
     })
 public final class BenchmarkMain implements Runnable {
 
-  private static final int BAD_ARGUMENTS = 2;
+  private static final int INVALID_ARGUMENTS = 2;
   private static final int FAILED = 1;
   private static final int OUT_OF_TIME = 3;
-  private static final int LONGEST_SECONDS = 1_800;
+  private static final int MAX_LIMIT_SECONDS = 1_800;
 
   @Option(
       names = "--limit",
       defaultValue = "600",
       scope = CommandLine.ScopeType.INHERIT,
       description = "Seconds after which the run is broken off.")
-  private int limit;
+  private int limitSeconds;
 
   @Spec private CommandSpec spec;
 
   private BenchmarkMain() {}
 
   /**
-   * Runs the subcommand that the arguments name; whatever it started has ended when this returns.
+   * Runs the subcommand that the arguments name, and ends whatever it started before it returns.
    */
   public static void main(String[] args) {
-    System.exit(run(args));
+    System.exit(runCommand(args));
   }
 
-  /** The exit status: 0, 1 for a run that failed, 2 for arguments that are amiss. */
-  static int run(String... args) {
+  /** Returns the exit status: 0, 1 for a failed run, 2 for invalid arguments. */
+  static int runCommand(String... args) {
     Level before = ProxyLogger.LOGGER.getLevel();
     ProxyLogger.LOGGER.setLevel(Level.SEVERE);
     try {
@@ -61,18 +61,18 @@
   private static int execute(String... args) {
     BenchmarkMain main = new BenchmarkMain();
     CommandLine line = new CommandLine(main);
-    line.setParameterExceptionHandler((e, given) -> say(e.getMessage(), BAD_ARGUMENTS));
+    line.setParameterExceptionHandler((e, given) -> reportError(e.getMessage(), INVALID_ARGUMENTS));
     line.setExecutionExceptionHandler(
         (e, command, parsed) ->
-            say(e instanceof BenchmarkException ? e.getMessage() : e.toString(), FAILED));
+            reportError(e instanceof BenchmarkException ? e.getMessage() : e.toString(), FAILED));
     line.setExecutionStrategy(
         parsed -> {
           try {
-            Arguments.within("--limit", main.limit, 1, LONGEST_SECONDS);
+            Arguments.requireBetween("--limit", main.limitSeconds, 1, MAX_LIMIT_SECONDS);
           } catch (BenchmarkException e) {
-            return say(e.getMessage(), BAD_ARGUMENTS);
+            return reportError(e.getMessage(), INVALID_ARGUMENTS);
           }
-          main.endInTime();
+          main.startWatchdog();
           return new CommandLine.RunLast().execute(parsed);
         });
     return line.execute(args);
@@ -84,13 +84,13 @@
         spec.commandLine(), "names no command: calls, control, processes or fit");
   }
 
-  private void endInTime() {
+  private void startWatchdog() {
     Thread watchdog =
         new Thread(
             () -> {
               try {
-                TimeUnit.SECONDS.sleep(limit);
-                System.exit(say("broken off after " + limit + " s", OUT_OF_TIME));
+                TimeUnit.SECONDS.sleep(limitSeconds);
+                System.exit(reportError("broken off after " + limitSeconds + " s", OUT_OF_TIME));
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
@@ -100,7 +100,7 @@
     watchdog.start();
   }
 
-  private static int say(String message, int status) {
+  private static int reportError(String message, int status) {
     System.err.println(
         "load-balancer-benchmark: " + String.valueOf(message).lines().findFirst().orElse(""));
     return status;
--- a/src/main/java/loadbalancer/benchmark/CallsCommand.java
+++ b/src/main/java/loadbalancer/benchmark/CallsCommand.java
@@ -2,6 +2,7 @@
 
 import com.sun.management.ThreadMXBean;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.lang.management.ManagementFactory;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -13,26 +14,26 @@
 import picocli.CommandLine.Option;
 
 /**
- * Processor time, bytes allocated and operations of a call, of a change, of news that has none and
- * of a whole list, against the length of the list: of the module alone, and of reading a list as
- * the node does. Run it with the flags of the deploy file's run, since the compiler that they
- * choose decides much of it.
+ * Measures processor time, bytes allocated and operations of a request, a change, an empty update
+ * and a full list against the length of the list: of the policy alone, and of parsing a list. Run
+ * it with the JVM flags of the deploy file's {@code run}, which choose the compiler.
  */
 @Command(
     name = "calls",
-    description = "Measures a call, a change and a whole list against list length.",
+    description = "Measures a call, a change and a full list against list length.",
     mixinStandardHelpOptions = true)
 final class CallsCommand implements Callable<Integer> {
 
-  private static final double NANOS_PER_US = 1e3;
-  private static final int LONGEST_LIST = 20_000;
-  private static final int MOST_REPEATS = 50;
-  private static final int COUNTED_CALLS = 200;
+  private static final double NANOS_PER_MICRO = 1e3;
+  private static final int DEFAULT_TIER = 0;
+  private static final int MAX_LIST_LENGTH = 20_000;
+  private static final int MAX_REPEATS = 50;
+  private static final int COUNTED_REQUESTS = 200;
 
-  /** For how long the node keeps an idle connection, by the limit that {@link Fleet} states. */
-  private static final double IDLE_MS = 21_000;
+  /** How long an idle upstream connection is kept, by the limit in {@link Fleet}. */
+  private static final double IDLE_TIMEOUT_MILLIS = 21_000;
 
-  private static final InetSocketAddress NOWHERE = new InetSocketAddress("127.0.0.1", 1);
+  private static final InetSocketAddress UNUSED_ADDRESS = new InetSocketAddress("127.0.0.1", 1);
 
   @Option(
       names = "--lists",
@@ -43,9 +44,6 @@
 
   @Mixin private DeploymentOptions deployment;
 
-  @Option(names = "--tier", defaultValue = "0", description = "0 where clients arrive, else 1.")
-  private int tier;
-
   @Option(
       names = "--rate",
       defaultValue = "147",
@@ -66,13 +64,12 @@
 
   @Override
   public Integer call() throws IOException {
-    Arguments.each("--lists", lists, 1, LONGEST_LIST);
+    Arguments.requireEachBetween("--lists", lists, 1, MAX_LIST_LENGTH);
     deployment.check();
-    Arguments.within("--tier", tier, 0, 1);
-    Arguments.within("--rate", rate, 1, 10_000);
-    Arguments.within("--repeats", repeats, 1, MOST_REPEATS);
-    Arguments.within("--batch-ms", batchMillis, 1, 1_000);
-    Machine.check(0, 0);
+    Arguments.requireBetween("--rate", rate, 1, 10_000);
+    Arguments.requireBetween("--repeats", repeats, 1, MAX_REPEATS);
+    Arguments.requireBetween("--batch-ms", batchMillis, 1, 1_000);
+    Machine.requireCapacity(0, 0);
     for (int length : lists) {
       measure(length).print(System.out);
     }
@@ -80,58 +77,73 @@
   }
 
   private Point measure(int length) throws IOException {
-    Point point = new Point("calls", deployment.seed);
-    point
-        .parameters
-        .put("list", length)
-        .put("zones", deployment.zones)
-        .put("tier", tier)
-        .put("rate", rate)
-        .put("batch_ms", batchMillis);
-    SimulatedBalancer.Template template =
-        SimulatedBalancer.Template.parse(
-            Fleet.config(NOWHERE, NOWHERE, deployment.seed, length, tier, deployment.zones));
+    Point point = createPoint(length);
+    SimulatedBalancer.Template template = createTemplate(length);
     byte[] body =
         Fleet.list(1, true, Fleet.entries(length, deployment.zones))
             .getBytes(StandardCharsets.US_ASCII);
     List<Endpoint> list = template.list(body);
     count(point, template, list);
     PolicyRun run = new PolicyRun(template.settings(), list, rate, deployment.seed);
-    time(point, "call", run::call);
-    time(point, "change", run::change);
-    time(point, "no_news", run::noNews);
-    time(point, "list", run::whole);
-    time(
-        point,
-        "parse",
-        () -> {
-          try {
-            template.list(body);
-          } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e);
-          }
-        });
-    // Of its own: while changes were timed, the calls that were out have become late.
+    time(point, "call", run::handleRequest);
+    time(point, "change", run::changeOneEndpoint);
+    time(point, "no_news", run::emptyUpdate);
+    time(point, "list", run::fullList);
+    time(point, "parse", () -> parse(template, body));
+    // A new run: requests in flight have become late while changes were timed.
     point.results.put(
         "reached",
-        new PolicyRun(template.settings(), list, rate, deployment.seed).reached(IDLE_MS));
+        new PolicyRun(template.settings(), list, rate, deployment.seed)
+            .endpointsReached(IDLE_TIMEOUT_MILLIS));
     point.results.put("list_bytes", body.length);
     return point;
   }
 
-  /** What doesn't depend on the machine. */
+  private Point createPoint(int length) {
+    Point point = new Point("calls", deployment.seed);
+    point
+        .parameters
+        .put("list", length)
+        .put("zones", deployment.zones)
+        .put("tier", deployment.tierOr(DEFAULT_TIER))
+        .put("rate", rate)
+        .put("batch_ms", batchMillis);
+    return point;
+  }
+
+  private SimulatedBalancer.Template createTemplate(int length) {
+    return SimulatedBalancer.Template.parse(
+        Fleet.config(
+            UNUSED_ADDRESS,
+            UNUSED_ADDRESS,
+            deployment.seed,
+            length,
+            deployment.tierOr(DEFAULT_TIER),
+            deployment.zones));
+  }
+
+  private static void parse(SimulatedBalancer.Template template, byte[] body) {
+    try {
+      template.list(body);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+  }
+
+  /** Counts operations, which don't depend on the machine. */
   static void count(Point point, SimulatedBalancer.Template template, List<Endpoint> list) {
-    PolicyRun.Looks looks = new PolicyRun.Looks();
-    PolicyRun run = new PolicyRun(PolicyRun.counted(template.settings(), looks), list, 147, 1);
-    for (int i = 0; i < COUNTED_CALLS; i++) {
-      run.call();
+    PolicyRun.EndpointChecks checks = new PolicyRun.EndpointChecks();
+    PolicyRun run =
+        new PolicyRun(PolicyRun.withEndpointChecks(template.settings(), checks), list, 147, 1);
+    for (int i = 0; i < COUNTED_REQUESTS; i++) {
+      run.handleRequest();
     }
-    point.results.put("call_looks", (double) looks.count() / COUNTED_CALLS);
-    point.results.put("call_sends", (double) run.sends() / COUNTED_CALLS);
-    point.results.put("call_timers", (double) run.timersSet() / COUNTED_CALLS);
+    point.results.put("call_looks", (double) checks.count() / COUNTED_REQUESTS);
+    point.results.put("call_sends", (double) run.attemptsSent() / COUNTED_REQUESTS);
+    point.results.put("call_timers", (double) run.timersSet() / COUNTED_REQUESTS);
   }
 
-  /** Batches of a fixed processor time, after warm-up batches that also find how many make one. */
+  /** Times batches of a fixed processor time; warm-up batches find how many calls make one. */
   private void time(Point point, String name, Runnable work) {
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
     long wanted = batchMillis * 1_000_000L;
@@ -149,11 +161,11 @@
       long bytes = threads.getThreadAllocatedBytes(id);
       long before = threads.getCurrentThreadCpuTime();
       repeat(work, times);
-      each[i] = (threads.getCurrentThreadCpuTime() - before) / NANOS_PER_US / times;
+      each[i] = (threads.getCurrentThreadCpuTime() - before) / NANOS_PER_MICRO / times;
       allocated[i] = (double) (threads.getThreadAllocatedBytes(id) - bytes) / times;
     }
-    Point.spread(point.results, name + "_us", each);
-    Point.spread(point.results, name + "_allocated_bytes", allocated);
+    Point.putSpread(point.results, name + "_us", each);
+    Point.putSpread(point.results, name + "_allocated_bytes", allocated);
   }
 
   private static void repeat(Runnable work, int times) {
--- a/src/main/java/loadbalancer/benchmark/DiscoveryStandIn.java
+++ b/src/main/java/loadbalancer/benchmark/DiscoveryStandIn.java
@@ -38,20 +38,18 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.benchmark.Fleet.Entry;
-import loadbalancer.benchmark.Traffic.Kind;
+import loadbalancer.benchmark.Traffic.Metric;
 
 /**
- * Stands in for discovery on loopback, as the protocol page has it: the whole list, a watch with
- * index and wait, deltas, drains, removals, outages and their end. Whoever watches from a version
- * whose changes are no longer kept gets the whole list. All balancers ask it directly, as if their
- * agents passed each call on: an agent that keeps what it was sent would spare it the empty
- * answers.
+ * A stand-in for the discovery service on loopback: full lists, watches with index and wait, deltas
+ * and outages. A watch from a version whose changes are no longer kept gets the full list.
+ * Balancers call it directly, without the caching agent of a real deployment.
  */
 final class DiscoveryStandIn implements AutoCloseable {
 
   /**
-   * How it meets calls: a silent one reads them and never answers them, also after its return; one
-   * that refuses resets each connection as it comes.
+   * How it treats requests: SILENT reads and never answers them, not even later; REFUSING resets
+   * each new connection.
    */
   enum Mode {
     ANSWERING,
@@ -59,50 +57,48 @@
     REFUSING
   }
 
-  /** What it reports on its own loop. */
+  /** Receives events on the event loop of the stand-in. */
   interface Listener {
 
-    /** A version exists from now on, and nobody has been told of it. */
+    /** A version exists, and no balancer has been notified of it yet. */
     void changed(long version);
 
-    /**
-     * A call of a connection at the second address tells that this version was taken in after that.
-     */
+    /** A request of a real balancer shows that it has applied a version after another one. */
     void acknowledged(long after, long version);
   }
 
-  /** The addresses: one for hollow balancers, one for real ones, which are counted apart. */
-  static final int HOLLOW = 0;
+  /** The addresses: simulated and real balancers are counted separately. */
+  static final int SIMULATED_BALANCERS = 0;
 
-  static final int REAL = 1;
+  static final int REAL_BALANCERS = 1;
   private static final int ADDRESSES = 2;
-  private static final int MOST_REQUEST = 8_192;
-  private static final int BACKLOG = 4_096;
+  private static final int MAX_REQUEST_BYTES = 8_192;
+  private static final int ACCEPT_BACKLOG = 4_096;
 
-  /** The version that is asked from by whoever asks for the whole list. */
-  private static final long WHOLE = -1;
+  /** Stands for the version of a request for the full list. */
+  private static final long NO_VERSION = -1;
 
-  private static final long LONGEST_WAIT_MS = 60_000;
+  private static final long MAX_WAIT_MILLIS = 60_000;
 
   private final EventLoop loop;
   private final Listener listener;
   private final Traffic[] traffic = {new Traffic(), new Traffic()};
   private final List<Channel> servers = new ArrayList<>();
-  private final Set<Channel> open = new HashSet<>();
+  private final Set<Channel> openChannels = new HashSet<>();
   private final Set<Watch> watches = new LinkedHashSet<>();
   private final Map<Integer, Entry> entries = new LinkedHashMap<>();
 
-  /** The changes that are kept, by the version that they made. */
+  /** The changes that are kept, by the version that they led to. */
   private final TreeMap<Long, List<Entry>> history = new TreeMap<>();
 
-  /** The answers to the present version, by the version asked from; -1 for the whole list. */
-  private final Map<Long, ByteBuf> answers = new LinkedHashMap<>();
+  /** Response bodies at the present version, by the version of the request. */
+  private final Map<Long, ByteBuf> responseBodies = new LinkedHashMap<>();
 
   private long version = 1;
-  private long oldest = 1;
+  private long oldestVersion = 1;
   private Mode mode = Mode.ANSWERING;
 
-  /** A call that waits for something newer than a version. */
+  /** A request that waits for a change after a version. */
   private static final class Watch {
 
     private final Channel channel;
@@ -131,13 +127,13 @@
           new ServerBootstrap()
               .group(loop, loop)
               .channel(NioServerSocketChannel.class)
-              .option(ChannelOption.SO_BACKLOG, BACKLOG)
+              .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
               .childOption(ChannelOption.TCP_NODELAY, true)
               .childHandler(
                   new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                      accepted(channel, address);
+                      onAccepted(channel, address);
                     }
                   })
               .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -154,11 +150,11 @@
     return loop;
   }
 
-  Traffic.Copy traffic(int which) {
-    return onLoop(() -> traffic[which].copy());
+  Traffic.Snapshot traffic(int which) {
+    return onLoop(() -> traffic[which].snapshot());
   }
 
-  /** Changes entries in one version, which it returns; what is removed leaves the list. */
+  /** Changes or removes entries in one version, which it returns. */
   long change(List<Entry> changed) {
     return onLoop(
         () -> {
@@ -171,39 +167,37 @@
             }
           }
           history.put(version, List.copyOf(changed));
-          forgetAnswers();
+          releaseResponseBodies();
           listener.changed(version);
           if (mode == Mode.ANSWERING) {
-            List.copyOf(watches).forEach(this::answer);
+            List.copyOf(watches).forEach(this::respond);
           }
           return version;
         });
   }
 
-  /**
-   * Loses the changes, as a discovery does that comes back from nothing: all get whole lists then.
-   */
-  void forget() {
+  /** Drops the changes, as a restart without state does: all balancers get full lists then. */
+  void dropHistory() {
     onLoop(
         () -> {
           history.clear();
-          oldest = version;
-          forgetAnswers();
+          oldestVersion = version;
+          releaseResponseBodies();
           return null;
         });
   }
 
-  /** Makes a version that everybody gets as a whole list. */
+  /** Makes a version that all balancers get as a full list. */
   long resync() {
     return onLoop(
         () -> {
           version++;
           history.clear();
-          oldest = version;
-          forgetAnswers();
+          oldestVersion = version;
+          releaseResponseBodies();
           listener.changed(version);
           if (mode == Mode.ANSWERING) {
-            List.copyOf(watches).forEach(this::answer);
+            List.copyOf(watches).forEach(this::respond);
           }
           return version;
         });
@@ -218,7 +212,7 @@
             watches.clear();
           }
           if (next == Mode.REFUSING) {
-            List.copyOf(open).forEach(DiscoveryStandIn::reset);
+            List.copyOf(openChannels).forEach(DiscoveryStandIn::reset);
           }
           return null;
         });
@@ -229,8 +223,8 @@
     onLoop(
         () -> {
           servers.forEach(Channel::close);
-          List.copyOf(open).forEach(DiscoveryStandIn::reset);
-          forgetAnswers();
+          List.copyOf(openChannels).forEach(DiscoveryStandIn::reset);
+          releaseResponseBodies();
           return null;
         });
     loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
@@ -240,9 +234,9 @@
     return loop.submit(work).syncUninterruptibly().getNow();
   }
 
-  private void forgetAnswers() {
-    answers.values().forEach(ByteBuf::release);
-    answers.clear();
+  private void releaseResponseBodies() {
+    responseBodies.values().forEach(ByteBuf::release);
+    responseBodies.clear();
   }
 
   private static void reset(Channel channel) {
@@ -250,34 +244,37 @@
     channel.close();
   }
 
-  private void accepted(Channel channel, int address) {
-    traffic[address].count(Kind.CONNECTIONS, 1);
+  private void onAccepted(Channel channel, int address) {
+    traffic[address].count(Metric.CONNECTIONS, 1);
     if (mode == Mode.REFUSING) {
       reset(channel);
       return;
     }
-    open.add(channel);
-    channel.closeFuture().addListener(closed -> open.remove(channel));
+    openChannels.add(channel);
+    channel.closeFuture().addListener(closed -> openChannels.remove(channel));
     channel
         .pipeline()
         .addLast(
-            new Meter(traffic[address]),
+            new ByteCounter(traffic[address]),
             new HttpServerCodec(),
-            new HttpObjectAggregator(MOST_REQUEST),
-            new Calls(address));
+            new HttpObjectAggregator(MAX_REQUEST_BYTES),
+            new RequestHandler(address));
   }
 
-  private void answer(Watch watch) {
+  private void respond(Watch watch) {
     watches.remove(watch);
     watch.end.cancel(false);
-    answer(watch.channel, watch.address, watch.index);
+    respond(watch.channel, watch.address, watch.index);
   }
 
-  private void answer(Channel channel, int address, long index) {
-    boolean whole = index < oldest || index > version;
-    Kind kind = whole ? Kind.LISTS : index == version ? Kind.EMPTY_ANSWERS : Kind.DELTAS;
-    traffic[address].count(kind, 1);
-    ByteBuf body = answers.computeIfAbsent(whole ? WHOLE : index, this::body).retainedDuplicate();
+  private void respond(Channel channel, int address, long index) {
+    boolean full = index < oldestVersion || index > version;
+    Metric metric = full ? Metric.LISTS : index == version ? Metric.EMPTY_ANSWERS : Metric.DELTAS;
+    traffic[address].count(metric, 1);
+    ByteBuf body =
+        responseBodies
+            .computeIfAbsent(full ? NO_VERSION : index, this::encodeBody)
+            .retainedDuplicate();
     DefaultFullHttpResponse response =
         new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body);
     response.headers().set("Content-Type", "application/json");
@@ -285,16 +282,16 @@
     channel.writeAndFlush(response);
   }
 
-  private ByteBuf body(long index) {
+  private ByteBuf encodeBody(long index) {
     Map<Integer, Entry> newer = new LinkedHashMap<>();
-    if (index != WHOLE) {
+    if (index != NO_VERSION) {
       history
           .tailMap(index, false)
           .values()
           .forEach(changes -> changes.forEach(entry -> newer.put(entry.number(), entry)));
     }
     String text =
-        index == WHOLE
+        index == NO_VERSION
             ? Fleet.list(version, true, entries.values())
             : Fleet.list(version, false, newer.values());
     return Unpooled.directBuffer(text.length())
@@ -302,49 +299,49 @@
   }
 
   /** Counts the bytes of a connection. */
-  private static final class Meter extends ChannelDuplexHandler {
+  private static final class ByteCounter extends ChannelDuplexHandler {
 
     private final Traffic traffic;
 
-    Meter(Traffic traffic) {
+    ByteCounter(Traffic traffic) {
       this.traffic = traffic;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-      traffic.count(Kind.BYTES_IN, ((ByteBuf) message).readableBytes());
+      traffic.count(Metric.BYTES_IN, ((ByteBuf) message).readableBytes());
       ctx.fireChannelRead(message);
     }
 
     @Override
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
-      traffic.count(Kind.BYTES_OUT, ((ByteBuf) message).readableBytes());
+      traffic.count(Metric.BYTES_OUT, ((ByteBuf) message).readableBytes());
       ctx.write(message, promise);
     }
   }
 
-  /** Reads the calls of one connection. */
-  private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+  /** Handles the requests of one connection. */
+  private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
     private final int address;
-    private long last = WHOLE;
+    private long last = NO_VERSION;
     private Watch watch;
 
-    Calls(int address) {
+    RequestHandler(int address) {
       this.address = address;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-      traffic[address].count(Kind.REQUESTS, 1);
+      traffic[address].count(Metric.REQUESTS, 1);
       QueryStringDecoder query = new QueryStringDecoder(request.uri());
       if (!query.path().equals("/catalog/members")) {
         ctx.close();
         return;
       }
-      long index = number(query, "index", WHOLE);
-      long wait = Math.min(LONGEST_WAIT_MS, number(query, "wait", 0));
-      if (address == REAL && last != WHOLE && index > last) {
+      long index = number(query, "index", NO_VERSION);
+      long wait = Math.min(MAX_WAIT_MILLIS, number(query, "wait", 0));
+      if (address == REAL_BALANCERS && last != NO_VERSION && index > last) {
         listener.acknowledged(last, index);
       }
       last = index;
@@ -353,11 +350,11 @@
       }
       if (index == version && wait > 0) {
         Watch begun = new Watch(ctx.channel(), address, index);
-        begun.end = loop.schedule(() -> answer(begun), wait, TimeUnit.MILLISECONDS);
+        begun.end = loop.schedule(() -> respond(begun), wait, TimeUnit.MILLISECONDS);
         watch = begun;
         watches.add(begun);
       } else {
-        answer(ctx.channel(), address, index);
+        respond(ctx.channel(), address, index);
       }
     }
 
--- a/src/main/java/loadbalancer/benchmark/FitCommand.java
+++ b/src/main/java/loadbalancer/benchmark/FitCommand.java
@@ -16,10 +16,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/**
- * Draws a slope through measured points: one line for each seed, and how far their slopes lie
- * apart.
- */
+/** Fits a line through measured points for each seed, and prints the spread of the slopes. */
 @Command(
     name = "fit",
     description = "Fits a straight line through points of JSON lines.",
@@ -27,10 +24,10 @@
 final class FitCommand implements Callable<Integer> {
 
   @Option(names = "--x", required = true, description = "Such as parameters.list.")
-  private String x;
+  private String xPath;
 
   @Option(names = "--y", required = true, description = "Such as results.call_us.median.")
-  private String y;
+  private String yPath;
 
   @Option(names = "--where", description = "Only points with this, such as parameters.phase=rest.")
   private List<String> where = List.of();
@@ -47,8 +44,8 @@
       }
       for (String line : Files.readAllLines(file)) {
         JsonNode point = Point.JSON.readTree(line);
-        JsonNode atX = at(point, x);
-        JsonNode atY = at(point, y);
+        JsonNode atX = at(point, xPath);
+        JsonNode atY = at(point, yPath);
         if (where.stream().allMatch(wanted -> holds(point, wanted))
             && atX.isNumber()
             && atY.isNumber()) {
@@ -58,13 +55,13 @@
       }
     }
     if (runs.isEmpty()) {
-      throw new BenchmarkException("no point has " + x + " and " + y);
+      throw new BenchmarkException("no point has " + xPath + " and " + yPath);
     }
     System.out.println(describe(runs));
     return 0;
   }
 
-  /** The points, and slopes and intercepts over runs: median, least and most. */
+  /** Describes the points, and the median, minimum and maximum of slopes and intercepts. */
   static String describe(Map<Long, List<double[]>> runs) {
     StringBuilder text = new StringBuilder();
     List<LeastSquares> fits = new ArrayList<>();
--- a/src/main/java/loadbalancer/benchmark/Fleet.java
+++ b/src/main/java/loadbalancer/benchmark/Fleet.java
@@ -4,17 +4,18 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Collectors;
+import java.util.stream.IntStream;
 
 /**
- * A made-up fleet: the upstreams of one list in discovery's form and the configuration of a
- * balancer in front of them, both as the protocol and deployment pages have them.
+ * A synthetic deployment: the endpoint list in discovery's form and the configuration of a balancer
+ * in front of these endpoints.
  */
 final class Fleet {
 
-  /** What is known of one upstream; its number gives its id and type. */
+  /** An endpoint as discovery lists it; its number gives its id and machine type. */
   record Entry(int number, int zone, String state, long startedMillis, String address) {
 
-    /** One at an address that its number gives, where nobody need listen. */
+    /** An endpoint at an address that its number gives, where nothing need listen. */
     Entry(int number, int zone, String state, long startedMillis) {
       this(
           number,
@@ -31,8 +32,8 @@
               number * 0x9e3779b1,
               address,
               zoneName(zone),
-              number % KINDS,
-              number / CELL,
+              number % MACHINE_TYPES,
+              number / ENDPOINTS_PER_DEDUPLICATION_GROUP,
               state,
               startedMillis);
     }
@@ -42,14 +43,14 @@
     }
   }
 
-  private static final int KINDS = 2;
+  private static final int MACHINE_TYPES = 2;
 
-  /** Upstreams that share which keys they have seen. */
-  private static final int CELL = 4;
+  /** Endpoints that share the idempotency keys that they have seen. */
+  private static final int ENDPOINTS_PER_DEDUPLICATION_GROUP = 4;
 
   private Fleet() {}
 
-  /** A list in which zones take turns. */
+  /** A list that distributes endpoints over zones in turn. */
   static List<Entry> entries(int count, int zones) {
     List<Entry> entries = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
@@ -66,18 +67,18 @@
   }
 
   /**
-   * What a balancer is told at its start. It knows no upstream yet, so that its first list comes
-   * from discovery; lists are pushed.
+   * A balancer's configuration. It knows no endpoint, so the first list comes from discovery; lists
+   * are pushed.
    */
   static String config(
       InetSocketAddress listen,
       InetSocketAddress discovery,
       long seed,
-      int siblings,
+      int instances,
       int tier,
       int zones) {
     String zoneNames =
-        java.util.stream.IntStream.range(0, zones)
+        IntStream.range(0, zones)
             .mapToObj(zone -> "\"" + zoneName(zone) + "\"")
             .collect(Collectors.joining(","));
     return """
@@ -102,7 +103,7 @@
                  "prices":{"crossZone":0.1,"probe":0.01,"waste":0.02,"lateFail":0.03,"connection":0.0,
                   "handshake":0.0,"peer":0.0,"registryMode":0.0}}}
                 """
-        .formatted(text(listen), text(discovery), seed, siblings, tier, zoneNames);
+        .formatted(text(listen), text(discovery), seed, instances, tier, zoneNames);
   }
 
   private static String zoneName(int zone) {
--- a/src/main/java/loadbalancer/benchmark/Machine.java
+++ b/src/main/java/loadbalancer/benchmark/Machine.java
@@ -8,23 +8,23 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The machine of a run: what its figures depend on, and the bounds that a run keeps on it. */
+/** The machine of a run: what its results depend on, and the resources that a run may use. */
 final class Machine {
 
-  private static final int MB = 1 << 20;
+  private static final int BYTES_PER_MB = 1 << 20;
 
   /** Memory of a real balancer, by the limit in its configuration. */
-  private static final long REAL_MB = 192;
+  private static final long MB_PER_REAL_BALANCER = 192;
 
-  private static final int MOST_REAL = 64;
+  private static final int MAX_REAL_BALANCERS = 64;
 
   private Machine() {}
 
-  /** A run takes less than half of the machine's memory, and descriptors that it may have. */
-  static void check(long sockets, int real) {
+  /** Throws unless a run fits in half of the memory and in the limit of descriptors. */
+  static void requireCapacity(long sockets, int real) {
     OperatingSystemMXBean system = system();
-    long taken = Runtime.getRuntime().maxMemory() / MB + real * REAL_MB;
-    long half = system.getTotalMemorySize() / MB / 2;
+    long taken = Runtime.getRuntime().maxMemory() / BYTES_PER_MB + real * MB_PER_REAL_BALANCER;
+    long half = system.getTotalMemorySize() / BYTES_PER_MB / 2;
     if (taken > half) {
       throw new BenchmarkException(
           "would take up to "
@@ -33,8 +33,9 @@
               + half
               + " MB): give it a smaller -Xmx or fewer real balancers");
     }
-    if (real > MOST_REAL) {
-      throw new BenchmarkException(real + " real balancers are over the bound of " + MOST_REAL);
+    if (real > MAX_REAL_BALANCERS) {
+      throw new BenchmarkException(
+          real + " real balancers are over the bound of " + MAX_REAL_BALANCERS);
     }
     if (system instanceof com.sun.management.UnixOperatingSystemMXBean unix
         && sockets > unix.getMaxFileDescriptorCount()) {
@@ -43,12 +44,12 @@
     }
   }
 
-  /** Processors, memory, virtual machine with its flags, and the load at this moment. */
+  /** Writes processors, memory, virtual machine with its flags, and the present load. */
   static void describe(ObjectNode to) {
     OperatingSystemMXBean system = system();
     to.put("processors", system.getAvailableProcessors());
     to.put("processor", processor());
-    to.put("memory_mb", system.getTotalMemorySize() / MB);
+    to.put("memory_mb", system.getTotalMemorySize() / BYTES_PER_MB);
     to.put("java", System.getProperty("java.vm.version"));
     List<String> flags = ManagementFactory.getRuntimeMXBean().getInputArguments();
     to.put("flags", String.join(" ", flags));
--- a/src/main/java/loadbalancer/benchmark/Point.java
+++ b/src/main/java/loadbalancer/benchmark/Point.java
@@ -5,10 +5,7 @@
 import java.io.PrintStream;
 import java.util.Arrays;
 
-/**
- * One measured point, printed as one line of JSON: how it was measured, on what machine, and what
- * came.
- */
+/** One measured point, printed as a line of JSON: parameters, machine and results. */
 final class Point {
 
   static final JsonMapper JSON = new JsonMapper();
@@ -32,13 +29,13 @@
     out.flush();
   }
 
-  /** To the thousandth, as more than that is never known. */
+  /** Rounds to thousandths. */
   static double rounded(double value) {
     return Math.rint(value * THOUSAND) / THOUSAND;
   }
 
-  /** Several measurements of one thing: the median, and how far they lie apart. */
-  static void spread(ObjectNode to, String name, double... values) {
+  /** Writes the median, minimum, maximum and number of several measurements. */
+  static void putSpread(ObjectNode to, String name, double... values) {
     double[] sorted = values.clone();
     Arrays.sort(sorted);
     ObjectNode spread = to.putObject(name);
--- a/src/main/java/loadbalancer/benchmark/PolicyRun.java
+++ b/src/main/java/loadbalancer/benchmark/PolicyRun.java
@@ -18,64 +18,56 @@
 import loadbalancer.policy.PolicyActions;
 
 /**
- * The module by itself in virtual time, with calls that are all served and changes of one entry.
- * Counts what it does; whoever measures its processor time does so around these methods.
+ * The policy by itself in virtual time, with requests that all succeed and changes of one endpoint.
+ * Counts its actions; processor time is measured around these methods.
  */
 final class PolicyRun implements PolicyActions {
 
-  private static final double LEAST_LATENCY_MS = 5;
-  private static final double LATENCY_SPREAD_MS = 10;
-  private static final double MS = 1_000;
+  private static final double MIN_LATENCY_MILLIS = 5;
+  private static final double LATENCY_SPREAD_MILLIS = 10;
+  private static final double MILLIS_PER_SECOND = 1_000;
 
-  /** A timer's token has its request's number above so many bits. */
+  /** The request's number is above so many low bits of a timer's token. */
   private static final int TOKEN_BITS = 8;
 
   private record Sent(long request, long upstream, double at, double dueAt) {}
 
-  private final List<Endpoint> list;
+  private final List<Endpoint> endpoints;
   private final PolicySettings settings;
-  private final LoadBalancingPolicy balancer;
+  private final LoadBalancingPolicy policy;
   private final SplittableRandom random;
-  private final double gap;
-  private final ArrayDeque<Sent> out = new ArrayDeque<>();
+  private final double gapMillis;
+  private final ArrayDeque<Sent> inFlight = new ArrayDeque<>();
   private final ArrayDeque<Long> timers = new ArrayDeque<>();
   private double now = 1e9;
   private long lastId;
-  private int flipped = -1;
-  private long sends;
+  private int drainingIndex = -1;
+  private long attemptsSent;
 
-  /**
-   * Where attempts went; null while nobody asks, as it would cost as much as a short list's call.
-   */
-  private Set<Long> reached;
+  /** Endpoints that attempts went to; null while not counted, as counting costs time. */
+  private Set<Long> endpointsReached;
 
   private long timersSet;
 
-  /**
-   * With calls at a rate a second, which decides how often evidence fades and how many are in
-   * flight.
-   */
+  /** Creates a run with so many requests a second. */
   PolicyRun(PolicySettings settings, List<Endpoint> list, double rate, long seed) {
     this.settings = settings;
-    this.list = list;
-    gap = MS / rate;
+    this.endpoints = list;
+    gapMillis = MILLIS_PER_SECOND / rate;
     random = new SplittableRandom(seed);
-    balancer = new LatencyWeightedPolicy(this);
-    balancer.start(now, settings, seed);
-    whole();
+    policy = new LatencyWeightedPolicy(this);
+    policy.start(now, settings, seed);
+    fullList();
   }
 
-  /**
-   * The same settings with classes whose placement allows everything and tells how often it is
-   * asked.
-   */
-  static PolicySettings counted(PolicySettings s, Looks looks) {
+  /** The same settings with a placement that allows every zone and counts its checks. */
+  static PolicySettings withEndpointChecks(PolicySettings s, EndpointChecks checks) {
     return s.withRequestClasses(
-        s.requestClasses().stream().map(c -> c.withPlacement(looks, null)).toList());
+        s.requestClasses().stream().map(c -> c.withPlacement(checks, null)).toList());
   }
 
-  /** A placement of all zones; each time it is asked, the module looks at a server for a call. */
-  static final class Looks extends AbstractList<Integer> {
+  /** A placement of all zones; the policy asks it whenever it checks an endpoint. */
+  static final class EndpointChecks extends AbstractList<Integer> {
 
     private long count;
 
@@ -100,76 +92,75 @@
     }
   }
 
-  /** A request arrives; attempts that are due by then have been served. */
-  void call() {
-    now += gap;
-    while (!out.isEmpty() && out.peekFirst().dueAt() <= now) {
-      Sent sent = out.pollFirst();
-      balancer.attemptFinished(
+  /** A request arrives, after the responses that are due by then. */
+  void handleRequest() {
+    now += gapMillis;
+    while (!inFlight.isEmpty() && inFlight.peekFirst().dueAt() <= now) {
+      Sent sent = inFlight.pollFirst();
+      policy.attemptFinished(
           now,
           new AttemptResult(
               sent.request(), 0, sent.upstream(), AttemptOutcome.OK, true, now - sent.at(), null));
     }
-    // Their calls are over by the time they ring in earnest, and all that is left of them is a
-    // look-up.
-    long oldest = out.isEmpty() ? lastId + 1 : out.peekFirst().request();
+    // In production a timer expires after its request has ended, and only looks it up.
+    long oldest = inFlight.isEmpty() ? lastId + 1 : inFlight.peekFirst().request();
     while (!timers.isEmpty() && timers.peekFirst() >>> TOKEN_BITS < oldest) {
-      balancer.timerExpired(now, timers.pollFirst());
+      policy.timerExpired(now, timers.pollFirst());
     }
-    int serviceClass = random.nextInt(settings.requestClasses().size());
-    balancer.requestArrived(
+    int requestClass = random.nextInt(settings.requestClasses().size());
+    policy.requestArrived(
         now,
         new ClientRequest(
             ++lastId,
-            serviceClass,
+            requestClass,
             0,
             0,
-            now + settings.requestClasses().get(serviceClass).deadlineMillis(),
+            now + settings.requestClasses().get(requestClass).deadlineMillis(),
             0,
             false,
             false));
   }
 
-  /** One entry begins to drain, or is ready again. */
-  void change() {
-    now += gap;
-    if (flipped < 0) {
-      flipped = random.nextInt(list.size());
-      balancer.endpointsChanged(
+  /** One endpoint begins to drain, or is ready again. */
+  void changeOneEndpoint() {
+    now += gapMillis;
+    if (drainingIndex < 0) {
+      drainingIndex = random.nextInt(endpoints.size());
+      policy.endpointsChanged(
           now,
           EndpointUpdateType.DELTA,
-          List.of(list.get(flipped).withState(EndpointState.DRAINING)));
+          List.of(endpoints.get(drainingIndex).withState(EndpointState.DRAINING)));
     } else {
-      balancer.endpointsChanged(now, EndpointUpdateType.DELTA, List.of(list.get(flipped)));
-      flipped = -1;
+      policy.endpointsChanged(now, EndpointUpdateType.DELTA, List.of(endpoints.get(drainingIndex)));
+      drainingIndex = -1;
     }
   }
 
-  /** A watch ends without news. */
-  void noNews() {
-    now += gap;
-    balancer.endpointsChanged(now, EndpointUpdateType.DELTA, List.of());
+  /** A watch ends without changes. */
+  void emptyUpdate() {
+    now += gapMillis;
+    policy.endpointsChanged(now, EndpointUpdateType.DELTA, List.of());
   }
 
-  /** The whole list comes, as at a resync. */
-  void whole() {
-    now += gap;
-    balancer.endpointsChanged(now, EndpointUpdateType.FULL, list);
+  /** The full list arrives, as at a resync. */
+  void fullList() {
+    now += gapMillis;
+    policy.endpointsChanged(now, EndpointUpdateType.FULL, endpoints);
   }
 
-  /** The servers that calls of so many ms go to, each of which holds a connection by then. */
-  int reached(double millis) {
-    reached = new HashSet<>();
+  /** Returns how many endpoints the requests of so many milliseconds go to. */
+  int endpointsReached(double millis) {
+    endpointsReached = new HashSet<>();
     for (double end = now + millis; now < end; ) {
-      call();
+      handleRequest();
     }
-    int count = reached.size();
-    reached = null;
+    int count = endpointsReached.size();
+    endpointsReached = null;
     return count;
   }
 
-  long sends() {
-    return sends;
+  long attemptsSent() {
+    return attemptsSent;
   }
 
   long timersSet() {
@@ -178,12 +169,12 @@
 
   @Override
   public void sendAttempt(long requestId, long upstream, double timeout) {
-    sends++;
-    if (reached != null) {
-      reached.add(upstream);
+    attemptsSent++;
+    if (endpointsReached != null) {
+      endpointsReached.add(upstream);
     }
-    double latency = LEAST_LATENCY_MS + LATENCY_SPREAD_MS * random.nextDouble();
-    out.addLast(new Sent(requestId, upstream, now, now + latency));
+    double latency = MIN_LATENCY_MILLIS + LATENCY_SPREAD_MILLIS * random.nextDouble();
+    inFlight.addLast(new Sent(requestId, upstream, now, now + latency));
   }
 
   @Override
@@ -194,7 +185,7 @@
 
   @Override
   public void reject(long requestId, double retryAfter) {
-    throw unexpected("a refusal");
+    throw unexpected("a rejection");
   }
 
   @Override
@@ -209,7 +200,7 @@
 
   @Override
   public void checkHealth(long upstream) {
-    throw unexpected("a probe");
+    throw unexpected("a health check");
   }
 
   @Override
@@ -237,10 +228,8 @@
     // Log lines decide nothing.
   }
 
-  /**
-   * Where all calls are served in time nothing of the kind is due, and the run would measure that.
-   */
+  /** No such action is due while all requests succeed; it would distort the measurement. */
   private static BenchmarkException unexpected(String what) {
-    return new BenchmarkException("the module asked for " + what + " where all calls are served");
+    return new BenchmarkException("the policy asked for " + what + " where all requests succeed");
   }
 }
--- a/src/main/java/loadbalancer/benchmark/ProcessesCommand.java
+++ b/src/main/java/loadbalancer/benchmark/ProcessesCommand.java
@@ -13,9 +13,9 @@
 import picocli.CommandLine.Option;
 
 /**
- * Real balancers by the deploy file's {@code run}, against list length: time to ready, processor
- * time until then, memory at rest, after whole lists have come again, and with callers' connections
- * open.
+ * Measures real balancers, started by the deploy file's {@code run}, against list length: time and
+ * processor time until ready, and memory at rest, after further full lists and with client
+ * connections open.
  */
 @Command(
     name = "processes",
@@ -23,13 +23,14 @@
     mixinStandardHelpOptions = true)
 final class ProcessesCommand implements Callable<Integer> {
 
-  private static final int LONGEST_LIST = 20_000;
-  private static final double NANOS = 1e9;
-  private static final int MOST_VERSIONS = 1_000;
-  private static final long LOOK_MS = 5;
+  private static final int DEFAULT_TIER = 1;
+  private static final int MAX_LIST_LENGTH = 20_000;
+  private static final double NANOS_PER_SECOND = 1e9;
+  private static final int MAX_VERSIONS = 1_000;
+  private static final long POLL_INTERVAL_MILLIS = 5;
 
-  /** How long a balancer rests before its memory is read: its first second still loads classes. */
-  private static final long SETTLE_MS = 1_500;
+  /** The time before memory is read, as the first second still loads classes. */
+  private static final long SETTLE_MILLIS = 1_500;
 
   @Option(
       names = "--lists",
@@ -44,30 +45,26 @@
   @Option(
       names = "--resyncs",
       defaultValue = "5",
-      description = "Whole lists that come after the first.")
+      description = "Full lists that come after the first.")
   private int resyncs;
 
   @Option(
       names = "--connections",
       split = ",",
       defaultValue = "0",
-      description = "Callers' connections open at each, one number after another, upwards.")
+      description = "Client connections open at each, one number after another, upwards.")
   private List<Integer> connections;
 
   @Mixin private DeploymentOptions deployment;
 
-  @Option(names = "--tier", defaultValue = "1", description = "0 where clients arrive, else 1.")
-  private int tier;
-
   @Override
   public Integer call() throws IOException, InterruptedException {
-    Arguments.each("--lists", lists, 1, LONGEST_LIST);
-    Arguments.within("--count", count, 1, 64);
-    Arguments.within("--resyncs", resyncs, 0, 100);
-    Arguments.each("--connections", connections, 0, 300);
+    Arguments.requireEachBetween("--lists", lists, 1, MAX_LIST_LENGTH);
+    Arguments.requireBetween("--count", count, 1, 64);
+    Arguments.requireBetween("--resyncs", resyncs, 0, 100);
+    Arguments.requireEachBetween("--connections", connections, 0, 300);
     deployment.check();
-    Arguments.within("--tier", tier, 0, 1);
-    Machine.check(0, count);
+    Machine.requireCapacity(0, count);
     for (int length : lists) {
       measure(length).print(System.out);
     }
@@ -76,6 +73,7 @@
 
   private Point measure(int length) throws IOException, InterruptedException {
     Point point = new Point("processes", deployment.seed);
+    int tier = deployment.tierOr(DEFAULT_TIER);
     point
         .parameters
         .put("list", length)
@@ -84,38 +82,67 @@
         .put("zones", deployment.zones)
         .put("tier", tier);
     List<Entry> entries = Fleet.entries(length, deployment.zones);
-    List<Socket> open = new ArrayList<>();
-    List<BalancerProcess> balancers = List.of();
     Acknowledgements acknowledged = new Acknowledgements();
-    DiscoveryStandIn discovery = new DiscoveryStandIn(entries, acknowledged);
-    try {
-      balancers =
+    try (DiscoveryStandIn discovery = new DiscoveryStandIn(entries, acknowledged)) {
+      List<BalancerProcess> balancers =
           BalancerProcess.start(
-              count, BalancerProcess.run(), discovery, deployment.seed, tier, deployment.zones);
-      Point.spread(point.results, "ready_ms", each(balancers, BalancerProcess::readyMillis));
-      Point.spread(point.results, "ready_cpu_ms", each(balancers, BalancerProcess::readyCpuMillis));
-      TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-      memory(point, "rest", balancers);
-      double[] cpu = each(balancers, BalancerProcess::cpuMillis);
-      double slowest = 0;
-      for (int i = 0; i < resyncs; i++) {
-        slowest = Math.max(slowest, resync(discovery, acknowledged));
+              count,
+              BalancerProcess.readRunCommand(),
+              discovery,
+              deployment.seed,
+              tier,
+              deployment.zones);
+      try {
+        measureStart(point, balancers);
+        measureResyncs(point, balancers, discovery, acknowledged);
+        measureConnections(point, balancers);
+      } finally {
+        balancers.forEach(BalancerProcess::close);
       }
-      double[] after = each(balancers, BalancerProcess::cpuMillis);
-      for (int i = 0; i < cpu.length; i++) {
-        cpu[i] = (after[i] - cpu[i]) / Math.max(1, resyncs);
-      }
-      point.results.put("resync_slowest_ms", slowest);
-      Point.spread(point.results, "resync_cpu_ms", cpu);
-      memory(point, "resynced", balancers);
-      for (int wanted : connections) {
+    }
+    return point;
+  }
+
+  private static void measureStart(Point point, List<BalancerProcess> balancers)
+      throws IOException, InterruptedException {
+    Point.putSpread(point.results, "ready_ms", each(balancers, BalancerProcess::readyMillis));
+    Point.putSpread(
+        point.results, "ready_cpu_ms", each(balancers, BalancerProcess::readyCpuMillis));
+    TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
+    putMemory(point, "rest", balancers);
+  }
+
+  private void measureResyncs(
+      Point point,
+      List<BalancerProcess> balancers,
+      DiscoveryStandIn discovery,
+      Acknowledgements acknowledged)
+      throws IOException, InterruptedException {
+    double[] cpuMillis = each(balancers, BalancerProcess::cpuMillis);
+    double slowestMillis = 0;
+    for (int i = 0; i < resyncs; i++) {
+      slowestMillis = Math.max(slowestMillis, resync(discovery, acknowledged));
+    }
+    double[] after = each(balancers, BalancerProcess::cpuMillis);
+    for (int i = 0; i < cpuMillis.length; i++) {
+      cpuMillis[i] = (after[i] - cpuMillis[i]) / Math.max(1, resyncs);
+    }
+    point.results.put("resync_slowest_ms", slowestMillis);
+    Point.putSpread(point.results, "resync_cpu_ms", cpuMillis);
+    putMemory(point, "resynced", balancers);
+  }
+
+  private void measureConnections(Point point, List<BalancerProcess> balancers) throws IOException {
+    List<Socket> open = new ArrayList<>();
+    try {
+      for (int target : connections) {
         for (BalancerProcess balancer : balancers) {
-          for (int i = open.size() / count; i < wanted; i++) {
+          for (int i = open.size() / count; i < target; i++) {
             open.add(connect(balancer, i));
           }
         }
-        if (wanted > 0) {
-          memory(point, "connections_" + wanted, balancers);
+        if (target > 0) {
+          putMemory(point, "connections_" + target, balancers);
         }
       }
       for (BalancerProcess balancer : balancers) {
@@ -125,45 +152,42 @@
       for (Socket socket : open) {
         socket.close();
       }
-      balancers.forEach(BalancerProcess::close);
-      discovery.close();
     }
-    return point;
   }
 
   private static Socket connect(BalancerProcess balancer, int open) {
     try {
-      return balancer.health();
+      return balancer.connectHealthy();
     } catch (IOException e) {
       throw new BenchmarkException(
           "a balancer with " + open + " connections took no further one: " + e.getMessage());
     }
   }
 
-  /** Has everybody take in the whole list; the time in ms until the last asks on from it. */
+  /** Sends a full list to all; returns the milliseconds until all have acknowledged it. */
   private double resync(DiscoveryStandIn discovery, Acknowledgements acknowledged)
       throws InterruptedException {
     long begun = System.nanoTime();
     long version = discovery.resync();
     double seconds = 0;
     while (acknowledged.balancers.get((int) version) < count) {
-      seconds = (System.nanoTime() - begun) / NANOS;
-      if (seconds > BalancerProcess.READY_SECONDS) {
+      seconds = (System.nanoTime() - begun) / NANOS_PER_SECOND;
+      if (seconds > BalancerProcess.READY_TIMEOUT_SECONDS) {
         throw new BenchmarkException("a balancer did not take in its list in " + seconds + " s");
       }
-      TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+      TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
     }
     return seconds * 1_000;
   }
 
-  /** How many balancers have asked on from each version. */
+  /** How many balancers have acknowledged each version. */
   private static final class Acknowledgements implements DiscoveryStandIn.Listener {
 
-    private final AtomicLongArray balancers = new AtomicLongArray(MOST_VERSIONS);
+    private final AtomicLongArray balancers = new AtomicLongArray(MAX_VERSIONS);
 
     @Override
     public void changed(long version) {
-      // Only what was taken in counts.
+      // Only acknowledgements are counted.
     }
 
     @Override
@@ -174,13 +198,14 @@
     }
   }
 
-  /** A figure of one balancer. */
-  private interface Figure {
+  /** Reads a value of one balancer. */
+  private interface Measurement {
 
     double of(BalancerProcess balancer) throws IOException;
   }
 
-  private static double[] each(List<BalancerProcess> balancers, Figure figure) throws IOException {
+  private static double[] each(List<BalancerProcess> balancers, Measurement figure)
+      throws IOException {
     double[] values = new double[balancers.size()];
     for (int i = 0; i < values.length; i++) {
       values[i] = figure.of(balancers.get(i));
@@ -188,11 +213,11 @@
     return values;
   }
 
-  private static void memory(Point point, String when, List<BalancerProcess> balancers)
+  private static void putMemory(Point point, String when, List<BalancerProcess> balancers)
       throws IOException {
-    Point.spread(point.results, when + "_rss_kb", each(balancers, b -> b.memoryKb("VmRSS")));
-    Point.spread(
+    Point.putSpread(point.results, when + "_rss_kb", each(balancers, b -> b.memoryKb("VmRSS")));
+    Point.putSpread(
         point.results, when + "_anonymous_kb", each(balancers, b -> b.memoryKb("RssAnon")));
-    Point.spread(point.results, when + "_most_kb", each(balancers, b -> b.memoryKb("VmHWM")));
+    Point.putSpread(point.results, when + "_most_kb", each(balancers, b -> b.memoryKb("VmHWM")));
   }
 }
--- a/src/main/java/loadbalancer/benchmark/SimulatedFleet.java
+++ b/src/main/java/loadbalancer/benchmark/SimulatedFleet.java
@@ -14,10 +14,10 @@
 import java.util.function.IntPredicate;
 import loadbalancer.model.EndpointUpdateType;
 
-/** Many balancers without callers on a few loops, and what they have taken in. */
+/** Many balancers without clients on a few event loops, and the updates they have applied. */
 final class SimulatedFleet implements AutoCloseable {
 
-  private static final long LOOK_MS = 5;
+  private static final long POLL_INTERVAL_MILLIS = 5;
 
   private final SimulatedBalancer.Template template;
   private final long seed;
@@ -27,12 +27,12 @@
   private final MultiThreadIoEventLoopGroup group;
   private final SimulatedBalancer[] balancers;
 
-  /** The version that each has; -1 for one that is stopped. */
+  /** The version that each balancer has; -1 for a stopped one. */
   private final AtomicLongArray versions;
 
-  private final AtomicLong failures = new AtomicLong();
-  private final AtomicLong lists = new AtomicLong();
-  private final AtomicLong deltas = new AtomicLong();
+  private final AtomicLong failedCalls = new AtomicLong();
+  private final AtomicLong fullListsApplied = new AtomicLong();
+  private final AtomicLong deltasApplied = new AtomicLong();
 
   SimulatedFleet(
       SimulatedBalancer.Template template,
@@ -45,7 +45,9 @@
     this.propagation = propagation;
     group =
         new MultiThreadIoEventLoopGroup(
-            loopCount, new DefaultThreadFactory("hollow", true), NioIoHandler.newFactory());
+            loopCount,
+            new DefaultThreadFactory("simulated-balancers", true),
+            NioIoHandler.newFactory());
     threads = new long[loopCount];
     for (int i = 0; i < loopCount; i++) {
       loops.add((EventLoop) group.next());
@@ -59,7 +61,7 @@
     }
   }
 
-  /** Starts those of the positions. */
+  /** Starts the balancers at the positions. */
   void start(IntPredicate which) {
     for (int i = 0; i < balancers.length; i++) {
       if (which.test(i)) {
@@ -71,12 +73,12 @@
                 seed + i,
                 loops.get(i % loops.size()),
                 PooledByteBufAllocator.DEFAULT,
-                this::taken);
+                this::onUpdateApplied);
       }
     }
   }
 
-  /** Kills those of the positions. */
+  /** Stops the balancers at the positions. */
   void stop(IntPredicate which) {
     for (int i = 0; i < balancers.length; i++) {
       if (which.test(i) && versions.getAndSet(i, -1) >= 0) {
@@ -85,11 +87,12 @@
     }
   }
 
-  private void taken(SimulatedBalancer balancer, EndpointUpdateType change, long version) {
+  private void onUpdateApplied(
+      SimulatedBalancer balancer, EndpointUpdateType change, long version) {
     long now = System.nanoTime();
     int position = balancer.position();
     if (change == EndpointUpdateType.FAILED) {
-      failures.incrementAndGet();
+      failedCalls.incrementAndGet();
       return;
     }
     long before = versions.get(position);
@@ -98,25 +101,25 @@
     }
     versions.set(position, version);
     if (change == EndpointUpdateType.FULL) {
-      lists.incrementAndGet();
+      fullListsApplied.incrementAndGet();
     } else if (version > before) {
-      deltas.incrementAndGet();
+      deltasApplied.incrementAndGet();
     }
-    propagation.taken(before, version, now);
+    propagation.recordApplied(before, version, now);
   }
 
-  /** Waits until all have a version, for some time at most; how many don't. */
-  int await(long version, double seconds) throws InterruptedException {
+  /** Waits until all have a version, up to a timeout; returns how many don't. */
+  int awaitVersion(long version, double seconds) throws InterruptedException {
     long end = System.nanoTime() + (long) (seconds * 1e9);
-    int missing = missing(version);
+    int missing = countBehind(version);
     while (missing > 0 && System.nanoTime() < end) {
-      TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-      missing = missing(version);
+      TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
+      missing = countBehind(version);
     }
     return missing;
   }
 
-  private int missing(long version) {
+  private int countBehind(long version) {
     int missing = 0;
     for (int i = 0; i < balancers.length; i++) {
       long has = versions.get(i);
@@ -125,7 +128,7 @@
     return missing;
   }
 
-  int running() {
+  int runningCount() {
     int running = 0;
     for (int i = 0; i < balancers.length; i++) {
       running += versions.get(i) >= 0 ? 1 : 0;
@@ -133,20 +136,20 @@
     return running;
   }
 
-  /** Whole lists taken in so far; likewise changes, and calls that failed. */
-  long lists() {
-    return lists.get();
+  /** Full lists applied so far. */
+  long fullListsApplied() {
+    return fullListsApplied.get();
   }
 
-  long deltas() {
-    return deltas.get();
+  long deltasApplied() {
+    return deltasApplied.get();
   }
 
-  long failures() {
-    return failures.get();
+  long failedCalls() {
+    return failedCalls.get();
   }
 
-  /** Processor time of their loops, in ns. */
+  /** Processor time of the event loops, in nanoseconds. */
   long cpuNanos() {
     long sum = 0;
     for (long thread : threads) {
--- a/src/main/java/loadbalancer/benchmark/Traffic.java
+++ b/src/main/java/loadbalancer/benchmark/Traffic.java
@@ -5,16 +5,13 @@
 import java.util.List;
 
 /**
- * What discovery has had to bear, in each second since its start. Of one thread: the stand-in's
- * loop counts and takes the copies that others read.
+ * The load on discovery in each second since its start. Confined to the stand-in's event loop;
+ * other threads read snapshots.
  */
 final class Traffic {
 
-  /**
-   * What is counted. An answer is empty, a delta with entries, or a whole list; bytes are those of
-   * TCP.
-   */
-  enum Kind {
+  /** What is counted; bytes are those of TCP. The names are keys of the output. */
+  enum Metric {
     CONNECTIONS,
     REQUESTS,
     EMPTY_ANSWERS,
@@ -29,29 +26,29 @@
   private final long startedAt = System.nanoTime();
   private final List<long[]> seconds = new ArrayList<>();
 
-  void count(Kind kind, long amount) {
+  void count(Metric kind, long amount) {
     int second = (int) ((System.nanoTime() - startedAt) / NANOS);
     while (seconds.size() <= second) {
-      seconds.add(new long[Kind.values().length]);
+      seconds.add(new long[Metric.values().length]);
     }
     seconds.get(second)[kind.ordinal()] += amount;
   }
 
-  /** All of it until now. */
-  Copy copy() {
-    return new Copy(
+  /** All counts so far. */
+  Snapshot snapshot() {
+    return new Snapshot(
         (System.nanoTime() - startedAt) / NANOS, seconds.stream().map(long[]::clone).toList());
   }
 
-  /** A copy at a time in seconds since the start. */
-  record Copy(double at, List<long[]> seconds) {
+  /** The counts at a time in seconds since the start. */
+  record Snapshot(double at, List<long[]> seconds) {
 
-    long total(Kind kind) {
+    long total(Metric kind) {
       return seconds.stream().mapToLong(second -> second[kind.ordinal()]).sum();
     }
 
-    /** The counts of each second from that of the earlier copy on. */
-    long[] since(Copy before, Kind kind) {
+    /** The counts of each second from that of the earlier snapshot on. */
+    long[] since(Snapshot before, Metric kind) {
       int from = (int) before.at;
       long[] each = new long[Math.max(0, seconds.size() - from)];
       for (int i = 0; i < each.length; i++) {
@@ -62,7 +59,7 @@
       return each;
     }
 
-    long peak(Copy before, Kind kind) {
+    long peak(Snapshot before, Metric kind) {
       return Arrays.stream(since(before, kind)).max().orElse(0);
     }
   }
--- a/src/main/java/loadbalancer/benchmark/package-info.java
+++ b/src/main/java/loadbalancer/benchmark/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The scale run: what a call, a change, a list, an outage and its end cost, measured over sizes so
- * that a plan can be worked out from slopes. None of it is in the jar that serves.
+ * The benchmark: what requests, changes, endpoint lists and outages cost against the sizes of lists
+ * and fleets, for capacity planning. It is a program of its own and not part of the serving jar.
  */
 package loadbalancer.benchmark;
--- a/src/test/java/loadbalancer/benchmark/BalancerFleetTest.java
+++ b/src/test/java/loadbalancer/benchmark/BalancerFleetTest.java
@@ -26,9 +26,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Several balancers, each a process of its own, on one processor before upstreams that partly start
- * cold, while a release replaces some of them and a burst comes. Each request is accounted for. It
- * runs in small with the other tests; {@code -Dfleet.requests=N} sets how many each client sends.
+ * Several balancer processes on one processor, with upstreams that are partly warming up, during a
+ * rolling release and a burst. Each request is accounted for. {@code -Dfleet.requests=N} sets how
+ * many each client sends.
  */
 @Timeout(value = 180, unit = TimeUnit.SECONDS)
 class BalancerFleetTest {
@@ -49,20 +49,17 @@
   private static final int BURST_CLIENTS = 24;
 
   private static final int BURST_REQUESTS = 8;
-  private static final long PAUSE_MS = 30;
-  private static final long RETRY_MS = 100;
-  private static final double DEADLINE_MS = 4_000;
+  private static final long PAUSE_MILLIS = 30;
+  private static final long RETRY_DELAY_MILLIS = 100;
+  private static final double DEADLINE_MILLIS = 4_000;
 
-  /** An answer that is later than this after the request's time is lost, by the standing check. */
-  private static final double LATE_MS = 500;
+  /** How late after the deadline a response may be. */
+  private static final double MAX_LATENESS_MILLIS = 500;
 
-  private static final double DRAIN_GRACE_MS = 250;
+  private static final double DRAIN_GRACE_MILLIS = 250;
 
-  /**
-   * What a watch may take to begin anew, and a busy machine to let processes run: with the grace
-   * less than the pauses that the clients make after the release.
-   */
-  private static final double TOLD_SLACK_MS = 750;
+  /** For a new watch to begin and processes to be scheduled on a busy machine. */
+  private static final double NOTIFICATION_SLACK_MILLIS = 750;
 
   private static final int SERVED_PERCENT = 50;
 
@@ -74,40 +71,43 @@
   private final List<UpstreamStandIn> upstreams = new ArrayList<>();
   private final Queue<Outcome> outcomes = new ConcurrentLinkedQueue<>();
   private final Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
-  private final AtomicInteger asked = new AtomicInteger();
+  private final AtomicInteger requestsSent = new AtomicInteger();
   private final CountDownLatch third = new CountDownLatch(CLIENTS * REQUESTS / 3);
 
   private static String configuration(
       int position, InetSocketAddress listen, InetSocketAddress asked) {
     return Fleet.config(listen, asked, 7 + position, BALANCERS, 0, 1)
         .replace("\"position\":0", "\"position\":" + position)
-        .replaceAll("\"deadline\":[0-9.]+", "\"deadline\":" + DEADLINE_MS)
-        .replaceAll("\"drainGrace\":[0-9.]+", "\"drainGrace\":" + DRAIN_GRACE_MS)
+        .replaceAll("\"deadline\":[0-9.]+", "\"deadline\":" + DEADLINE_MILLIS)
+        .replaceAll("\"drainGrace\":[0-9.]+", "\"drainGrace\":" + DRAIN_GRACE_MILLIS)
         .replace(
             "\"services\":[",
             """
                         "services":[
                          {"name":"charge","aim":400.0,"deadline":%s,"worth":4.0,"lateValue":0.5,
                           "idempotency":"at_most_once","streamed":false},"""
-                .formatted(DEADLINE_MS));
+                .formatted(DEADLINE_MILLIS));
   }
 
   private Entry entry(int number, long startedMillis) {
     return new Entry(number, 0, "up", startedMillis, upstreams.get(number).address());
   }
 
-  /** Sends so many requests, each once more if it was refused or failed, as a new one. */
+  /** Sends so many requests, and each once more, as a new one, if it was rejected or failed. */
   private Thread client(String name, InetSocketAddress balancer, int requests, long pause) {
     Thread thread =
         new Thread(
             () -> {
               try (ClientStandIn client =
-                  new ClientStandIn(balancer, DEADLINE_MS, (int) (DEADLINE_MS + 2 * LATE_MS))) {
+                  new ClientStandIn(
+                      balancer,
+                      DEADLINE_MILLIS,
+                      (int) (DEADLINE_MILLIS + 2 * MAX_LATENESS_MILLIS))) {
                 for (int i = 0; i < requests; i++) {
                   Kind kind = Kind.values()[i % Kind.values().length];
-                  if (ask(client, kind, name + "-" + i).status() != 200) {
-                    TimeUnit.MILLISECONDS.sleep(RETRY_MS);
-                    ask(client, kind, name + "-" + i + "-again");
+                  if (send(client, kind, name + "-" + i).status() != 200) {
+                    TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MILLIS);
+                    send(client, kind, name + "-" + i + "-again");
                   }
                   third.countDown();
                   TimeUnit.MILLISECONDS.sleep(pause);
@@ -121,15 +121,15 @@
     return thread;
   }
 
-  private Outcome ask(ClientStandIn client, Kind kind, String transaction) throws Exception {
-    asked.incrementAndGet();
-    Outcome outcome = client.ask(kind, transaction);
+  private Outcome send(ClientStandIn client, Kind kind, String transaction) throws Exception {
+    requestsSent.incrementAndGet();
+    Outcome outcome = client.send(kind, transaction);
     outcomes.add(outcome);
     return outcome;
   }
 
   @Test
-  void eachRequestHasOneAnswerInTimeAndNoneGoesToAnUpstreamThatLeaves() throws Exception {
+  void eachRequestHasOneResponseInTimeAndNoneGoesToDrainedUpstream() throws Exception {
     long now = System.currentTimeMillis();
     List<Entry> entries = new ArrayList<>();
     for (int i = 0; i < UPSTREAMS + RELEASED; i++) {
@@ -144,13 +144,15 @@
     List<BalancerProcess> balancers = List.of();
     long drainedAt;
     try (DiscoveryStandIn discovery =
-        new DiscoveryStandIn(entries.subList(0, UPSTREAMS), new DiscoveryStandInTest.Deaf())) {
-      InetSocketAddress asked = discovery.address(DiscoveryStandIn.REAL);
+        new DiscoveryStandIn(
+            entries.subList(0, UPSTREAMS), new DiscoveryStandInTest.NoOpListener())) {
+      InetSocketAddress asked = discovery.address(DiscoveryStandIn.REAL_BALANCERS);
       balancers =
           BalancerProcess.start(
               BALANCERS, run, (position, listen) -> configuration(position, listen, asked));
       for (int i = 0; i < CLIENTS; i++) {
-        clients.add(client("c" + i, balancers.get(i % BALANCERS).address(), REQUESTS, PAUSE_MS));
+        clients.add(
+            client("c" + i, balancers.get(i % BALANCERS).address(), REQUESTS, PAUSE_MILLIS));
       }
       third.await();
       for (int i = 0; i < BURST_CLIENTS; i++) {
@@ -169,13 +171,11 @@
       loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
     assertEquals(List.of(), List.copyOf(failures));
-    checkAnswers();
+    checkResponses();
     checkReceived(drainedAt);
   }
 
-  /**
-   * Drains the first upstreams and brings cold ones in their place; when discovery had the news.
-   */
+  /** Replaces the first upstreams by new ones; returns when discovery had the change. */
   private static long release(DiscoveryStandIn discovery, List<Entry> entries) {
     List<Entry> changed = new ArrayList<>();
     for (int i = 0; i < RELEASED; i++) {
@@ -186,15 +186,15 @@
     return System.nanoTime();
   }
 
-  /** One answer for each request, in time, made by an upstream for this request if it is a 200. */
-  private void checkAnswers() {
-    assertEquals(asked.get(), outcomes.size());
+  /** Each request has one response in time; that of a 200 comes from an upstream. */
+  private void checkResponses() {
+    assertEquals(requestsSent.get(), outcomes.size());
     int served = 0;
     for (Outcome outcome : outcomes) {
       assertTrue(Set.of(200, 500, 502, 503, 504).contains(outcome.status()), outcome.toString());
-      assertTrue(outcome.millis() <= DEADLINE_MS + LATE_MS, "late: " + outcome);
+      assertTrue(outcome.millis() <= DEADLINE_MILLIS + MAX_LATENESS_MILLIS, "late: " + outcome);
       if (outcome.status() == 200) {
-        assertEquals(UpstreamStandIn.answerTo(outcome.transaction()), outcome.body());
+        assertEquals(UpstreamStandIn.responseTo(outcome.transaction()), outcome.body());
         served++;
       }
     }
@@ -203,9 +203,7 @@
         served + " of " + outcomes.size() + " were served");
   }
 
-  /**
-   * Only what clients sent came, unchanged, and nothing came where news of a drain had been told.
-   */
+  /** Upstreams received only what clients sent, and nothing after they were drained. */
   private void checkReceived(long drainedAt) {
     Map<String, Outcome> sent = new HashMap<>();
     outcomes.forEach(outcome -> sent.put(outcome.transaction(), outcome));
@@ -219,12 +217,13 @@
         double afterDrain = (received.at() - drainedAt) / ClientStandIn.NANOS_PER_MS;
         last = Math.max(last, afterDrain);
         assertTrue(
-            i >= RELEASED || afterDrain <= DRAIN_GRACE_MS + TOLD_SLACK_MS,
-            afterDrain + " ms after it was told to drain upstream " + i + " got " + received);
+            i >= RELEASED || afterDrain <= DRAIN_GRACE_MILLIS + NOTIFICATION_SLACK_MILLIS,
+            afterDrain + " ms after it began to drain upstream " + i + " got " + received);
         joined += i >= UPSTREAMS ? 1 : 0;
       }
     }
-    assertTrue(last > DRAIN_GRACE_MS + TOLD_SLACK_MS, "nothing came after the grace");
+    assertTrue(
+        last > DRAIN_GRACE_MILLIS + NOTIFICATION_SLACK_MILLIS, "nothing came after the grace");
     assertTrue(joined > 0, "no upstream that joined got anything");
     for (Outcome outcome : outcomes) {
       int ran = runs.getOrDefault(outcome.transaction(), 0);
--- a/src/test/java/loadbalancer/benchmark/ClientStandIn.java
+++ b/src/test/java/loadbalancer/benchmark/ClientStandIn.java
@@ -10,51 +10,50 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A client of one balancer by the protocol page: it keeps its connection, sends one request at a
- * time, and sends one once more on a new connection only if a kept one ended before any byte of an
- * answer.
+ * A client of one balancer: it keeps its connection, sends one request at a time, and repeats one
+ * on a new connection only if a reused one ended before any byte of a response.
  */
 final class ClientStandIn implements AutoCloseable {
 
-  /** The classes of service that it asks for. */
+  /** The request classes. */
   enum Kind {
     READ,
     WRITE,
     CHARGE
   }
 
-  /** What became of a request; status 0 stands for no whole answer. */
+  /** The result of a request; status 0 stands for no complete response. */
   record Outcome(Kind kind, String transaction, int status, String body, double millis) {}
 
   static final double NANOS_PER_MS = 1e6;
-  private static final int CONNECT_MS = 10_000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 10_000;
 
-  /** Where the status stands in the first line of an answer. */
+  /** The position of the status in the first line of a response. */
   private static final int STATUS_BEGIN = "HTTP/1.1 ".length();
 
   private static final int STATUS_END = STATUS_BEGIN + 3;
 
   private final InetSocketAddress balancer;
-  private final double patienceMillis;
-  private final int mostMillis;
+  private final double deadlineMillis;
+  private final int timeoutMillis;
   private Socket socket;
 
-  /** A request's time is {@code patience} ms; an answer is waited for up to {@code most} ms. */
-  ClientStandIn(InetSocketAddress balancer, double patience, int most) {
+  /** Creates a client with a deadline and a socket timeout in milliseconds. */
+  ClientStandIn(InetSocketAddress balancer, double deadline, int timeout) {
     this.balancer = balancer;
-    patienceMillis = patience;
-    mostMillis = most;
+    deadlineMillis = deadline;
+    timeoutMillis = timeout;
   }
 
-  Outcome ask(Kind kind, String transaction) throws IOException {
+  Outcome send(Kind kind, String transaction) throws IOException {
     byte[] request = request(kind, transaction).getBytes(StandardCharsets.US_ASCII);
-    boolean kept = socket != null;
-    if (!kept) {
+    boolean reused = socket != null;
+    if (!reused) {
       connect();
     }
     long begun = System.nanoTime();
     Outcome outcome = exchange(kind, transaction, request, begun);
-    if (outcome == null && kept) {
+    if (outcome == null && reused) {
       close();
       connect();
       outcome = exchange(kind, transaction, request, begun);
@@ -70,9 +69,9 @@
 
   private void connect() throws IOException {
     socket = new Socket();
-    socket.connect(balancer, CONNECT_MS);
+    socket.connect(balancer, CONNECT_TIMEOUT_MILLIS);
     socket.setTcpNoDelay(true);
-    socket.setSoTimeout(mostMillis);
+    socket.setSoTimeout(timeoutMillis);
   }
 
   private String request(Kind kind, String transaction) {
@@ -87,7 +86,7 @@
             + "\r\nX-Lane: "
             + path
             + "\r\nX-Remaining: "
-            + patienceMillis / TimeUnit.SECONDS.toMillis(1)
+            + deadlineMillis / TimeUnit.SECONDS.toMillis(1)
             + "\r\n";
     return switch (kind) {
       case READ -> head + "\r\n";
@@ -103,7 +102,7 @@
     };
   }
 
-  /** Null if the connection ended before any byte of an answer. */
+  /** Null if the connection ended before any byte of a response. */
   private Outcome exchange(Kind kind, String transaction, byte[] request, long begun) {
     String head = "";
     try {
@@ -114,8 +113,8 @@
       }
       int length = Integer.parseInt(header(head, "content-length"));
       byte[] body = socket.getInputStream().readNBytes(length);
-      boolean whole = body.length == length;
-      int status = whole ? Integer.parseInt(head.substring(STATUS_BEGIN, STATUS_END)) : 0;
+      boolean complete = body.length == length;
+      int status = complete ? Integer.parseInt(head.substring(STATUS_BEGIN, STATUS_END)) : 0;
       if ("close".equals(header(head, "connection"))) {
         close();
       }
@@ -126,7 +125,7 @@
           new String(body, StandardCharsets.US_ASCII),
           millisSince(begun));
     } catch (SocketTimeoutException e) {
-      return new Outcome(kind, transaction, 0, "no answer: " + head, millisSince(begun));
+      return new Outcome(kind, transaction, 0, "no response: " + head, millisSince(begun));
     } catch (IOException e) {
       return head.isEmpty()
           ? null
@@ -167,7 +166,7 @@
         socket.close();
       }
     } catch (IOException e) {
-      // It is gone either way.
+      // The connection is closed either way.
     }
     socket = null;
   }
--- a/src/test/java/loadbalancer/benchmark/CommandLineTest.java
+++ b/src/test/java/loadbalancer/benchmark/CommandLineTest.java
@@ -16,26 +16,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the command line takes, and the slopes that it draws. */
+/** The command line and the fit of slopes. */
 class CommandLineTest {
 
   @TempDir private Path folder;
 
-  private record Ended(int status, String out, String err) {}
+  private record Result(int status, String out, String err) {}
 
-  private static Ended run(String... args) {
+  private static Result run(String... args) {
     PrintStream out = System.out;
     PrintStream err = System.err;
-    ByteArrayOutputStream said = new ByteArrayOutputStream();
-    ByteArrayOutputStream complained = new ByteArrayOutputStream();
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    ByteArrayOutputStream errors = new ByteArrayOutputStream();
     try {
-      System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
-      System.setErr(new PrintStream(complained, true, StandardCharsets.UTF_8));
-      int status = BenchmarkMain.run(args);
-      return new Ended(
-          status,
-          said.toString(StandardCharsets.UTF_8),
-          complained.toString(StandardCharsets.UTF_8));
+      System.setOut(new PrintStream(output, true, StandardCharsets.UTF_8));
+      System.setErr(new PrintStream(errors, true, StandardCharsets.UTF_8));
+      int status = BenchmarkMain.runCommand(args);
+      return new Result(
+          status, output.toString(StandardCharsets.UTF_8), errors.toString(StandardCharsets.UTF_8));
     } finally {
       System.setOut(out);
       System.setErr(err);
@@ -57,16 +55,16 @@
         "fit --x a --y b",
         "fit --x a --y b missing.jsonl"
       })
-  void whatIsAmissIsOnePlainLineAndAStatus(String args) {
-    Ended ended = run(args.isEmpty() ? new String[0] : args.split(" "));
-    assertTrue(ended.status() != 0, ended.toString());
-    assertEquals(1, ended.err().lines().count(), ended.err());
-    assertTrue(ended.err().startsWith("load-balancer-benchmark: "), ended.err());
-    assertEquals("", ended.out());
+  void invalidArgumentsAreOneLineAndAnErrorStatus(String args) {
+    Result result = run(args.isEmpty() ? new String[0] : args.split(" "));
+    assertTrue(result.status() != 0, result.toString());
+    assertEquals(1, result.err().lines().count(), result.err());
+    assertTrue(result.err().startsWith("load-balancer-benchmark: "), result.err());
+    assertEquals("", result.out());
   }
 
   @Test
-  void aSlopeIsThatOfTheLineForEachSeedWithItsSpread() throws Exception {
+  void fitsOneSlopePerSeedAndReportsTheSpread() throws Exception {
     Path file = folder.resolve("points.jsonl");
     StringBuilder lines = new StringBuilder();
     for (int seed = 1; seed <= 3; seed++) {
@@ -76,7 +74,7 @@
       }
     }
     Files.writeString(file, lines);
-    Ended ended =
+    Result result =
         run(
             "fit",
             "--x",
@@ -86,10 +84,10 @@
             "--where",
             "parameters.phase=a",
             file.toString());
-    assertEquals(0, ended.status(), ended.err());
-    List<String> said = ended.out().lines().toList();
-    assertEquals("seed 2: 1->12 2->14 3->16 4->18; r2 1.0000", said.get(1));
-    assertEquals("slope 2 (1 to 3), intercept 10 (10 to 10), of 3 runs", said.get(3));
+    assertEquals(0, result.status(), result.err());
+    List<String> outputLines = result.out().lines().toList();
+    assertEquals("seed 2: 1->12 2->14 3->16 4->18; r2 1.0000", outputLines.get(1));
+    assertEquals("slope 2 (1 to 3), intercept 10 (10 to 10), of 3 runs", outputLines.get(3));
   }
 
   private static String point(int seed, int x, String phase, int y) {
@@ -98,9 +96,9 @@
   }
 
   @Test
-  void aBalancerThatDoesNotStartIsOneLineWithItsLastWords() {
+  void failedStartOfBalancerIsOneLineWithItsLastLogLine() {
     try (DiscoveryStandIn discovery =
-        new DiscoveryStandIn(Fleet.entries(1, 1), new DiscoveryStandInTest.Deaf())) {
+        new DiscoveryStandIn(Fleet.entries(1, 1), new DiscoveryStandInTest.NoOpListener())) {
       BenchmarkException e =
           assertThrows(
               BenchmarkException.class,
@@ -112,7 +110,7 @@
   }
 
   @Test
-  void aSlopeNeedsTwoSizes() {
+  void fitNeedsTwoDifferentSizes() {
     assertThrows(
         BenchmarkException.class,
         () -> FitCommand.describe(Map.of(1L, List.of(new double[] {3, 1}, new double[] {3, 2}))));
--- a/src/test/java/loadbalancer/benchmark/ServeCommand.java
+++ b/src/test/java/loadbalancer/benchmark/ServeCommand.java
@@ -11,9 +11,8 @@
   private ServeCommand() {}
 
   /**
-   * With run's own flags, one more for the virtual machine in place of the class archive, and the
-   * libraries of its jar alone; from the compiled classes, as jar and archive are made after the
-   * tests.
+   * The command with an option in place of the class archive, on the compiled classes and the
+   * libraries of the serving jar, as jar and archive are built after the tests.
    */
   static String fromClasses(String option) throws IOException {
     String libraries =
@@ -24,7 +23,7 @@
                         || path.contains("jackson")
                         || path.endsWith("target" + File.separator + "classes"))
             .collect(Collectors.joining(File.pathSeparator));
-    return BalancerProcess.run()
+    return BalancerProcess.readRunCommand()
         .replaceAll("-XX:SharedArchiveFile=\\S+", option)
         .replaceAll("-jar \\S+", "-cp " + libraries + " loadbalancer.proxy.Main");
   }
--- a/src/test/java/loadbalancer/benchmark/ServingScopeTest.java
+++ b/src/test/java/loadbalancer/benchmark/ServingScopeTest.java
@@ -11,25 +11,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The scale run is out of reach of the program that serves. */
+/** The serving program neither contains nor loads the benchmark. */
 class ServingScopeTest {
 
-  private static final String SCALE =
+  private static final String BENCHMARK =
       "loadbalancer[./]benchmark|picocli|HdrHistogram|SimulatedBalancer";
 
-  /**
-   * Without its class archive serve had loaded 2,740 to 2,743 classes and taken 66,588 to 67,488 KB
-   * at most, in three starts each before there was a scale run; a fiftieth and a twentieth more are
-   * allowed.
-   */
-  private static final int MOST_CLASSES = 2_800;
+  /** Limits of a start without class archive: guards against libraries that the benchmark adds. */
+  private static final int MAX_CLASSES = 2_800;
 
-  private static final double MOST_KB = 70_800;
+  private static final double MAX_RESIDENT_KB = 70_800;
 
   @TempDir private Path folder;
 
   @Test
-  void noClassOfTheProgramThatServesNamesTheScaleRunOrItsLibraries() throws Exception {
+  void servingCodeDoesNotNameBenchmarkOrItsLibraries() throws Exception {
     try (Stream<Path> files = Files.walk(Path.of("src/main/java"))) {
       List<Path> sources =
           files
@@ -38,29 +34,31 @@
               .toList();
       assertTrue(sources.size() > 20, sources.toString());
       for (Path source : sources) {
-        assertFalse(Files.readString(source).matches("(?s).*(" + SCALE + ").*"), source.toString());
+        assertFalse(
+            Files.readString(source).matches("(?s).*(" + BENCHMARK + ").*"), source.toString());
       }
     }
   }
 
-  /** With run's own flags and the libraries of its jar alone. */
+  /** With the flags of the deploy file and the libraries of the serving jar. */
   @Test
-  void serveStartsWithoutThemAndTakesNoMoreThanBefore() throws Exception {
+  void servingStartsWithoutBenchmarkWithinClassAndMemoryLimits() throws Exception {
     Path loaded = folder.resolve("loaded");
     String run = ServeCommand.fromClasses("-Xlog:class+load:file=" + loaded);
     try (DiscoveryStandIn discovery =
-        new DiscoveryStandIn(Fleet.entries(10, 2), new DiscoveryStandInTest.Deaf())) {
+        new DiscoveryStandIn(Fleet.entries(10, 2), new DiscoveryStandInTest.NoOpListener())) {
       List<BalancerProcess> balancers = BalancerProcess.start(1, run, discovery, 7, 1, 2);
       try {
         double most = balancers.get(0).memoryKb("VmHWM");
-        assertTrue(most < MOST_KB, most + " KB");
+        assertTrue(most < MAX_RESIDENT_KB, most + " KB");
       } finally {
         balancers.forEach(BalancerProcess::close);
       }
     }
     List<String> classes = Files.readAllLines(loaded);
     assertEquals(
-        List.of(), classes.stream().filter(line -> line.matches(".*(" + SCALE + ").*")).toList());
-    assertTrue(classes.size() < MOST_CLASSES, classes.size() + " classes");
+        List.of(),
+        classes.stream().filter(line -> line.matches(".*(" + BENCHMARK + ").*")).toList());
+    assertTrue(classes.size() < MAX_CLASSES, classes.size() + " classes");
   }
 }
--- a/src/test/java/loadbalancer/benchmark/SmallBenchmarkTest.java
+++ b/src/test/java/loadbalancer/benchmark/SmallBenchmarkTest.java
@@ -12,33 +12,33 @@
 import java.util.List;
 import java.util.Map;
 import loadbalancer.benchmark.Fleet.Entry;
-import loadbalancer.benchmark.Traffic.Kind;
+import loadbalancer.benchmark.Traffic.Metric;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The scale run in small: what it counts and what doesn't depend on the machine. */
+/** The benchmark at a small scale: the results that don't depend on the machine. */
 class SmallBenchmarkTest {
 
   private static final int BALANCERS = 24;
   private static final int LIST = 40;
   private static final int ZONES = 4;
-  private static final double PATIENCE_S = 60;
+  private static final double TIMEOUT_SECONDS = 60;
   private static final long LONG_AGO = 1_600_000_000_000L;
-  private static final InetSocketAddress NOWHERE = new InetSocketAddress("127.0.0.1", 1);
+  private static final InetSocketAddress UNUSED_ADDRESS = new InetSocketAddress("127.0.0.1", 1);
 
-  /** Of an answer's head, whatever the length of its body. */
-  private static final int HEAD =
+  /** Bytes of a response's head without the digits of its length. */
+  private static final int HEAD_BYTES =
       ("HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n" + "content-length: \r\n\r\n")
           .length();
 
-  private final Propagation takings = new Propagation();
+  private final Propagation propagation = new Propagation();
 
-  private final class Stamps implements DiscoveryStandIn.Listener {
+  private final class PropagationListener implements DiscoveryStandIn.Listener {
 
     @Override
     public void changed(long version) {
-      takings.changed(version, System.nanoTime());
+      propagation.recordChange(version, System.nanoTime());
     }
 
     @Override
@@ -47,51 +47,50 @@
     }
   }
 
-  private static long answer(String body) {
-    return (long) HEAD + Integer.toString(body.length()).length() + body.length();
+  private static long responseBytes(String body) {
+    return (long) HEAD_BYTES + Integer.toString(body.length()).length() + body.length();
   }
 
   /**
-   * Each balancer has one connection; it takes in the list once, each change once, and at a resync
-   * the list once more. Where the machine is so busy that a call expires, that call alone is made
-   * again. All lists here have the same length in bytes, and so have all changes, so that their sum
-   * shows what was sent.
+   * Each balancer has one connection and applies the list once, each change once and the list once
+   * more at a resync. On a busy machine a call may time out and is repeated. All lists have the
+   * same size in bytes, and so have all changes.
    */
   @Test
-  void messagesAndBytesGoWithBalancersChangesAndLists() throws Exception {
+  void messagesAndBytesGrowWithBalancersChangesAndLists() throws Exception {
     List<Entry> entries =
         Fleet.entries(LIST, ZONES).stream().map(entry -> entry.with("up", LONG_AGO)).toList();
-    try (DiscoveryStandIn discovery = new DiscoveryStandIn(entries, new Stamps());
+    try (DiscoveryStandIn discovery = new DiscoveryStandIn(entries, new PropagationListener());
         SimulatedFleet fleet = fleet(discovery)) {
       fleet.start(position -> true);
-      assertEquals(0, fleet.await(1, PATIENCE_S));
+      assertEquals(0, fleet.awaitVersion(1, TIMEOUT_SECONDS));
       for (int i = 1; i <= 5; i++) {
         List<Entry> restarted = List.of(entries.get(i).with("up", LONG_AGO + i));
-        assertEquals(0, fleet.await(discovery.change(restarted), PATIENCE_S));
+        assertEquals(0, fleet.awaitVersion(discovery.change(restarted), TIMEOUT_SECONDS));
       }
-      assertEquals(0, fleet.await(discovery.resync(), PATIENCE_S));
-
-      Traffic.Copy traffic = discovery.traffic(DiscoveryStandIn.HOLLOW);
-      long again = fleet.failures();
-      assertEquals(2 * BALANCERS, fleet.lists());
-      assertEquals(5 * BALANCERS, fleet.deltas());
-      assertEquals(6 * BALANCERS, takings.count());
-      long lists = traffic.total(Kind.LISTS);
-      long deltas = traffic.total(Kind.DELTAS);
-      long empty = traffic.total(Kind.EMPTY_ANSWERS);
-      assertBetween(2 * BALANCERS, 2 * BALANCERS + again, lists);
-      assertBetween(5 * BALANCERS, 5 * BALANCERS + again, deltas);
+      assertEquals(0, fleet.awaitVersion(discovery.resync(), TIMEOUT_SECONDS));
+
+      Traffic.Snapshot traffic = discovery.traffic(DiscoveryStandIn.SIMULATED_BALANCERS);
+      long repeated = fleet.failedCalls();
+      assertEquals(2 * BALANCERS, fleet.fullListsApplied());
+      assertEquals(5 * BALANCERS, fleet.deltasApplied());
+      assertEquals(6 * BALANCERS, propagation.count());
+      long lists = traffic.total(Metric.LISTS);
+      long deltas = traffic.total(Metric.DELTAS);
+      long empty = traffic.total(Metric.EMPTY_ANSWERS);
+      assertBetween(2 * BALANCERS, 2 * BALANCERS + repeated, lists);
+      assertBetween(5 * BALANCERS, 5 * BALANCERS + repeated, deltas);
       assertEquals(
-          lists * answer(Fleet.list(1, true, entries))
-              + deltas * answer(Fleet.list(1, false, entries.subList(0, 1)))
-              + empty * answer(Fleet.list(1, false, List.of())),
-          traffic.total(Kind.BYTES_OUT));
-      // Each answer is followed by one call, and the last ones may still be on their way.
+          lists * responseBytes(Fleet.list(1, true, entries))
+              + deltas * responseBytes(Fleet.list(1, false, entries.subList(0, 1)))
+              + empty * responseBytes(Fleet.list(1, false, List.of())),
+          traffic.total(Metric.BYTES_OUT));
+      // Each response is followed by one request; the last ones may not have arrived yet.
       assertBetween(
           lists + deltas + empty,
-          lists + deltas + empty + BALANCERS + again,
-          traffic.total(Kind.REQUESTS));
-      assertBetween(BALANCERS, BALANCERS + again, traffic.total(Kind.CONNECTIONS));
+          lists + deltas + empty + BALANCERS + repeated,
+          traffic.total(Metric.REQUESTS));
+      assertBetween(BALANCERS, BALANCERS + repeated, traffic.total(Metric.CONNECTIONS));
     }
   }
 
@@ -100,23 +99,23 @@
   }
 
   private SimulatedFleet fleet(DiscoveryStandIn discovery) {
-    InetSocketAddress address = discovery.address(DiscoveryStandIn.HOLLOW);
+    InetSocketAddress address = discovery.address(DiscoveryStandIn.SIMULATED_BALANCERS);
     return new SimulatedFleet(
-        SimulatedBalancer.Template.parse(Fleet.config(NOWHERE, address, 7, BALANCERS, 1, ZONES)),
+        SimulatedBalancer.Template.parse(
+            Fleet.config(UNUSED_ADDRESS, address, 7, BALANCERS, 1, ZONES)),
         BALANCERS,
         1,
         7,
-        takings);
+        propagation);
   }
 
-  /**
-   * A call looks at no server more than once for each attempt, and is one send where all is well.
-   */
+  /** The policy checks each endpoint once per attempt at most, and makes one if it succeeds. */
   @ParameterizedTest
   @ValueSource(ints = {10, 100, 1_000, 4_000})
-  void aCallIsOneSendAndLooksAtNoServerTwice(int length) throws Exception {
+  void requestIsOneAttemptAndChecksNoEndpointTwice(int length) throws Exception {
     SimulatedBalancer.Template template =
-        SimulatedBalancer.Template.parse(Fleet.config(NOWHERE, NOWHERE, 7, length, 0, ZONES));
+        SimulatedBalancer.Template.parse(
+            Fleet.config(UNUSED_ADDRESS, UNUSED_ADDRESS, 7, length, 0, ZONES));
     byte[] list =
         Fleet.list(1, true, Fleet.entries(length, ZONES)).getBytes(StandardCharsets.US_ASCII);
     Point point = new Point("calls", 7);
@@ -126,32 +125,31 @@
     assertTrue(point.results.path("call_timers").asDouble() <= 2, point.results.toString());
   }
 
-  /**
-   * Whoever makes 100 calls holds connections to no more servers than there are, or than it made
-   * calls.
-   */
+  /** 100 requests reach at most 100 endpoints, and at most those of the list. */
   @Test
-  void callsReachNoMoreServersThanThereAre() throws Exception {
+  void requestsReachNoMoreEndpointsThanThereAre() throws Exception {
     for (int length : new int[] {5, 1_000}) {
       SimulatedBalancer.Template template =
-          SimulatedBalancer.Template.parse(Fleet.config(NOWHERE, NOWHERE, 7, length, 0, ZONES));
+          SimulatedBalancer.Template.parse(
+              Fleet.config(UNUSED_ADDRESS, UNUSED_ADDRESS, 7, length, 0, ZONES));
       byte[] list =
           Fleet.list(1, true, Fleet.entries(length, ZONES)).getBytes(StandardCharsets.US_ASCII);
       PolicyRun run = new PolicyRun(template.settings(), template.list(list), 10, 7);
-      int reached = run.reached(10_000);
+      int reached = run.endpointsReached(10_000);
       assertTrue(reached > 0 && reached <= Math.min(100, length), reached + " of " + length);
-      assertEquals(100, run.sends());
+      assertEquals(100, run.attemptsSent());
     }
   }
 
   /** The whole command: all phases, each with all balancers up to date at its end. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void allPhasesEndWithEveryBalancerUpToDate(boolean refuse) throws Exception {
+  void allPhasesEndWithAllBalancersUpToDate(boolean refuse) throws Exception {
     ControlCommand command = new ControlCommand();
     command.balancers = BALANCERS;
     command.list = LIST;
     command.deployment.zones = ZONES;
+    command.deployment.tier = 0;
     command.loops = 1;
     command.changes = 2;
     command.day = 0.2;
@@ -160,7 +158,7 @@
     command.refuse = refuse;
     command.deployment.seed = 7;
     ByteArrayOutputStream printed = new ByteArrayOutputStream();
-    assertEquals(0, command.to(new PrintStream(printed, true, StandardCharsets.UTF_8)).call());
+    assertEquals(0, command.printTo(new PrintStream(printed, true, StandardCharsets.UTF_8)).call());
     Map<String, JsonNode> phases = new HashMap<>();
     for (String line : printed.toString(StandardCharsets.UTF_8).lines().toList()) {
       JsonNode point = Point.JSON.readTree(line);
--- a/src/test/java/loadbalancer/benchmark/UpstreamStandIn.java
+++ b/src/test/java/loadbalancer/benchmark/UpstreamStandIn.java
@@ -23,31 +23,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An upstream on loopback that serves a few requests at a time, turns others away and keeps a
- * record. Some of those that ran end in an error, a reset or in silence, by their turn.
+ * An upstream on loopback that serves a few requests at a time, rejects others and records all. A
+ * fixed share of those that ran ends in an error, a reset or no response.
  */
 final class UpstreamStandIn implements AutoCloseable {
 
-  /** A request that came whole, when, by {@link System#nanoTime()}, and whether it ran. */
+  /** A complete request, its time by {@link System#nanoTime()}, and whether it ran. */
   record Received(String transaction, String idempotencyKey, String body, long at, boolean ran) {}
 
-  private static final int MOST_REQUEST = 64 * 1024;
-  private static final long SERVICE_MS = 10;
+  private static final int MAX_REQUEST_BYTES = 64 * 1024;
+  private static final long SERVICE_TIME_MILLIS = 10;
 
-  /** Which of the requests that run end otherwise than served. */
+  /** One of so many requests that run ends in this way. */
   private static final int ERROR_EVERY = 11;
 
   private static final int RESET_EVERY = 13;
-  private static final int SILENCE_EVERY = 47;
+  private static final int NO_RESPONSE_EVERY = 47;
 
   private final EventLoop loop;
   private final int slots;
   private final Channel server;
   private final Queue<Received> received = new ConcurrentLinkedQueue<>();
-  private int working;
+  private int running;
   private int runs;
 
-  /** Listens at a free port; at most {@code slots} requests are at work at a time. */
+  /** Listens at a free port; at most {@code slots} requests run at a time. */
   UpstreamStandIn(EventLoop loop, int slots) {
     this.loop = loop;
     this.slots = slots;
@@ -64,8 +64,8 @@
                         .pipeline()
                         .addLast(
                             new HttpServerCodec(),
-                            new HttpObjectAggregator(MOST_REQUEST),
-                            new Requests());
+                            new HttpObjectAggregator(MAX_REQUEST_BYTES),
+                            new RequestHandler());
                   }
                 })
             .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -81,8 +81,8 @@
     return received;
   }
 
-  /** The body of the answer to a request. */
-  static String answerTo(String transaction) {
+  /** The body of the response to a request. */
+  static String responseTo(String transaction) {
     return "made for " + transaction;
   }
 
@@ -91,12 +91,12 @@
     server.close().syncUninterruptibly();
   }
 
-  private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
+  private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
       String transaction = request.headers().get("X-Txn");
-      boolean ran = working < slots;
+      boolean ran = running < slots;
       received.add(
           new Received(
               transaction,
@@ -110,15 +110,15 @@
         context.writeAndFlush(busy);
         return;
       }
-      working++;
+      running++;
       runs++;
       int turn = runs;
       loop.schedule(
           () -> {
-            working--;
+            running--;
             end(context, transaction, turn);
           },
-          SERVICE_MS,
+          SERVICE_TIME_MILLIS,
           TimeUnit.MILLISECONDS);
     }
 
@@ -128,8 +128,8 @@
         context.close();
       } else if (turn % ERROR_EVERY == 0) {
         context.writeAndFlush(response(HttpResponseStatus.INTERNAL_SERVER_ERROR, ""));
-      } else if (turn % SILENCE_EVERY != 0) {
-        context.writeAndFlush(response(HttpResponseStatus.OK, answerTo(transaction)));
+      } else if (turn % NO_RESPONSE_EVERY != 0) {
+        context.writeAndFlush(response(HttpResponseStatus.OK, responseTo(transaction)));
       }
     }
 
