--- a/src/main/java/loadbalancer/model/AttemptOutcome.java
+++ b/src/main/java/loadbalancer/model/AttemptOutcome.java
@@ -4,23 +4,29 @@
 public enum AttemptOutcome {
   /** The endpoint served it. */
   OK,
-  /** The endpoint answered with an error. */
+  /** A status other than 200, an invalid response, or one that stalled; it may have run. */
   ERROR,
   /** The endpoint rejected it for want of capacity; it had no effect. */
-  FULL,
+  REJECTED,
   /** No response within the attempt's timeout. */
   TIMEOUT,
-  /** No connection came up; it had no effect. */
+  /**
+   * The request was not completely written: no connection, one that was lost or brought an invalid
+   * response before that, an unknown or draining endpoint, or no time left. It had no effect.
+   */
   CONNECT_FAILED,
   /** The connection broke before the response was complete. */
   RESET,
   /** Cancelled by this instance. */
   CANCELLED,
-  /** Never left this instance; it had no effect. */
+  /**
+   * Never left this instance: no descriptor, no attempt or time left, or the client disconnected.
+   * It had no effect.
+   */
   NOT_SENT;
 
   /** Whether this proves that the attempt had no effect. */
   public boolean neverRan() {
-    return this == FULL || this == CONNECT_FAILED || this == NOT_SENT;
+    return this == REJECTED || this == CONNECT_FAILED || this == NOT_SENT;
   }
 }
--- a/src/main/java/loadbalancer/model/ClientRequest.java
+++ b/src/main/java/loadbalancer/model/ClientRequest.java
@@ -6,7 +6,7 @@
  * @param id unique within an instance
  * @param requestClass index into {@link PolicySettings#requestClasses}
  * @param tenant index into {@link PolicySettings#tenants}
- * @param key the idempotency or ordering key that ties requests together; 0 for none
+ * @param key the ordering key, which ties requests about the same subject together; 0 for none
  * @param deadlineMillis when the client gives up waiting, on the clock of the events
  * @param costMillis expected work in milliseconds of a standard core; 0 if unknown
  * @param retry whether the client has marked it as a retry
--- a/src/main/java/loadbalancer/model/Endpoint.java
+++ b/src/main/java/loadbalancer/model/Endpoint.java
@@ -3,7 +3,7 @@
 /**
  * One upstream server as discovery lists it.
  *
- * @param id opaque number of its address
+ * @param id opaque number: a hash of the ID that discovery gives, or in the simulator its address
  * @param zone index of its zone
  * @param machineType index of its machine type
  * @param deduplicationGroup the endpoints of one group share the idempotency keys that they have
--- a/src/main/java/loadbalancer/model/LoadReportMode.java
+++ b/src/main/java/loadbalancer/model/LoadReportMode.java
@@ -5,7 +5,7 @@
   /** On responses. */
   PIGGYBACK,
   /** In answer to health checks. */
-  PROBE,
+  HEALTH_CHECK,
   /** Not at all. */
   NONE
 }
--- a/src/main/java/loadbalancer/model/RuleSettings.java
+++ b/src/main/java/loadbalancer/model/RuleSettings.java
@@ -6,7 +6,8 @@
  * @param responseGraceMillis how long after its deadline a request may still get its response
  * @param drainGraceMillis how long after the notification a draining endpoint still accepts
  *     requests
- * @param pollIntervalMillis the usual time between two calls to discovery
+ * @param pollIntervalMillis the base of the backoff after failed calls to discovery and of the time
+ *     after which a suspect endpoint list counts as stale
  * @param initialCapacity the share of its capacity that an endpoint has when it starts
  * @param warmUpMillis the time in which that share grows evenly to 1
  * @param collapseMultiple a warming endpoint collapses at this multiple of its present capacity
--- a/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -60,13 +60,12 @@
     RequestClassStatistics type = request.statistics();
     double retryShare = type.clientRetryShare();
     double retryProbability =
-        Math.min(
-            1, type.rejectedShare() / Math.max(RequestClassValue.MIN_TRAFFIC_SHARE, retryShare));
-    if (request.request().retry()) {
+        Math.min(1, type.rejectedShare() / Math.max(RequestClassValue.MIN_SHARE, retryShare));
+    if (request.clientRequest().retry()) {
       return retryProbability;
     }
     return (type.rejectedShare() - retryShare * retryProbability)
-        / Math.max(RequestClassValue.MIN_TRAFFIC_SHARE, 1 - retryShare);
+        / Math.max(RequestClassValue.MIN_SHARE, 1 - retryShare);
   }
 
   /**
--- a/src/main/java/loadbalancer/policy/Attempt.java
+++ b/src/main/java/loadbalancer/policy/Attempt.java
@@ -8,7 +8,7 @@
   private final InFlightRequest request;
   private final EndpointStatistics endpoint;
   private final int number;
-  private final double sentAt;
+  private final double sentAtMillis;
   private final int concurrencyAtSend;
   private final double rejectedShareAtSend;
 
@@ -26,7 +26,7 @@
     this.request = request;
     this.endpoint = endpoint;
     this.number = request.attempts().size();
-    this.sentAt = sentAt;
+    this.sentAtMillis = sentAt;
     this.concurrencyAtSend = endpoint.inFlightCount();
     this.rejectedShareAtSend = rejectedShareAtSend;
   }
@@ -45,7 +45,7 @@
   }
 
   double sentAtMillis() {
-    return sentAt;
+    return sentAtMillis;
   }
 
   /** This instance's attempts in flight at the endpoint when it was sent. */
--- a/src/main/java/loadbalancer/policy/DiscoveryRefresh.java
+++ b/src/main/java/loadbalancer/policy/DiscoveryRefresh.java
@@ -28,10 +28,13 @@
 
   private static final double BACKOFF_FACTOR = 2;
 
-  /** Rejected or unconnected attempts in a row at an endpoint that make the list suspect. */
-  private static final int MAX_CONSECUTIVE_REJECTIONS = 3;
+  /**
+   * Rejected or unconnected attempts in a row, at an endpoint listed as ready, that make the list
+   * suspect.
+   */
+  private static final int STALE_LIST_REJECTIONS = 3;
 
-  /** Least time without an update before a suspect list is fetched, as a share of the interval. */
+  /** Least time since the last contact before the watch is replaced, as a share of the interval. */
   private static final double STALENESS_POLL_SHARE = 0.3;
 
   /** Growth of that time while no update comes: a crashed endpoint looks like a stale list. */
@@ -40,7 +43,7 @@
   private final PolicySettings settings;
   private final PolicyActions actions;
   private final SplittableRandom random;
-  private double lastContactAt;
+  private double lastContactAtMillis;
   private double stalenessTimeoutMillis;
   private int consecutiveFailures;
 
@@ -49,7 +52,7 @@
     this.settings = settings;
     this.actions = actions;
     this.random = random;
-    lastContactAt = now;
+    lastContactAtMillis = now;
     resetStalenessTimeout();
   }
 
@@ -67,7 +70,7 @@
 
   /** An update, or the failure of a call, has come from discovery. */
   void contacted(boolean withEndpoints, double now) {
-    lastContactAt = now;
+    lastContactAtMillis = now;
     if (withEndpoints) {
       resetStalenessTimeout();
     }
@@ -99,16 +102,16 @@
 
   /** Begins the watch anew if the outcome of an attempt makes the list suspect. */
   void attemptFinished(EndpointStatistics endpoint, AttemptOutcome outcome, double now) {
-    if (outcome == AttemptOutcome.FULL || outcome == AttemptOutcome.CONNECT_FAILED) {
+    if (outcome == AttemptOutcome.REJECTED || outcome == AttemptOutcome.CONNECT_FAILED) {
       endpoint.recordRejection();
     } else if (outcome == AttemptOutcome.OK) {
       endpoint.clearRejections();
     }
     if (settings.explicitWatch()
-        && endpoint.consecutiveRejections() >= MAX_CONSECUTIVE_REJECTIONS
-        && endpoint.endpoint().state() == EndpointState.READY
-        && now - lastContactAt >= stalenessTimeoutMillis) {
-      lastContactAt = now;
+        && endpoint.consecutiveRejections() >= STALE_LIST_REJECTIONS
+        && endpoint.listedEndpoint().state() == EndpointState.READY
+        && now - lastContactAtMillis >= stalenessTimeoutMillis) {
+      lastContactAtMillis = now;
       stalenessTimeoutMillis *= STALENESS_BACKOFF_FACTOR;
       actions.watchEndpoints(true);
     }
--- a/src/main/java/loadbalancer/policy/EndpointCost.java
+++ b/src/main/java/loadbalancer/policy/EndpointCost.java
@@ -12,22 +12,24 @@
   /** Least success rate reckoned with: a failing endpoint still gets an attempt now and then. */
   private static final double MIN_SUCCESS_RATE = 0.05;
 
-  /** Growth for each attempt in flight: those are served first. */
+  /** Growth for each attempt in flight, as a new one waits behind them. */
   private static final double IN_FLIGHT_GROWTH = 1.4;
 
   /** Added for each millisecond that the oldest attempt is overdue. */
   private static final double OVERDUE_WEIGHT = 4;
 
-  /** Growth across zones, for the square root of their cost in points: it must stay possible. */
+  /**
+   * Growth for a remote zone, for the square root of its cost; finite, so that it stays selectable.
+   */
   private static final double CROSS_ZONE_GROWTH = 400;
 
-  /** A delay or failure rate offsets the cross-zone penalty near its limit only, not at half. */
+  /** Steep: half of the limit on delay or failure rate hardly offsets the cross-zone penalty. */
   private static final double CROSS_ZONE_OFFSET_POWER = 4;
 
   /** Failure rate that offsets the cross-zone penalty. */
   private static final double CROSS_ZONE_FAILURE_RATE = 0.4;
 
-  /** A failing endpoint must still get the attempts that show its recovery. */
+  /** Bound of that offset: a failing endpoint still gets attempts that show its recovery. */
   private static final double MAX_FAILURE_OFFSET = 16;
 
   /** Attempts that an endpoint is taken to serve at once, whatever was seen. */
@@ -43,7 +45,7 @@
   private static final double RESTRICTED_GROWTH = 40;
 
   /** Overload level reckoned with for those even when there is no overload. */
-  private static final double MIN_RESTRICTED_LEVEL = HedgingPolicy.MAX_OVERLOAD_LEVEL / 2;
+  private static final double MIN_RESTRICTED_LEVEL = HedgingPolicy.OVERLOAD_LIMIT / 2;
 
   private final PlacementGroup[] placementGroups;
   private final SlowStart slowStart;
@@ -78,7 +80,7 @@
     cost *= 1 + IN_FLIGHT_GROWTH * endpoint.inFlightCount();
     cost += overdueMillis(endpoint, now);
     cost *= queueingFactor(endpoint, request);
-    if (endpoint.endpoint().zone() != zone) {
+    if (endpoint.listedEndpoint().zone() != zone) {
       cost *= 1 + crossZonePenalty;
     }
     if (!endpoint.isInSubset()) {
@@ -140,7 +142,7 @@
     for (PlacementGroup group : placementGroups) {
       if (group != request.statistics().placementGroup()
           && group.isRestricted()
-          && group.allows(endpoint.endpoint())) {
+          && group.allows(endpoint.listedEndpoint())) {
         increased *= 1 + RESTRICTED_GROWTH * (MIN_RESTRICTED_LEVEL + group.overload().level());
       }
     }
--- a/src/main/java/loadbalancer/policy/EndpointEligibility.java
+++ b/src/main/java/loadbalancer/policy/EndpointEligibility.java
@@ -21,8 +21,8 @@
 
   boolean mayReceive(EndpointStatistics endpoint, InFlightRequest request, double now) {
     return mayHaveAnotherAttempt(request)
-        && request.requestClass().allows(endpoint.endpoint())
-        && mayRepeat(request, endpoint.endpoint(), now);
+        && request.requestClass().allows(endpoint.listedEndpoint())
+        && mayRepeat(request, endpoint.listedEndpoint(), now);
   }
 
   private boolean mayHaveAnotherAttempt(InFlightRequest request) {
@@ -40,7 +40,7 @@
     return type.idempotency() == Idempotency.DEDUPLICATED
         && now + limits.connectTimeoutMillis()
             < first.sentAtMillis() + type.deduplicationWindowMillis()
-        && shareDeduplication(type.deduplicationScope(), first.endpoint().endpoint(), target);
+        && shareDeduplication(type.deduplicationScope(), first.endpoint().listedEndpoint(), target);
   }
 
   /** Whether the target knows the idempotency keys that the first endpoint has seen. */
--- a/src/main/java/loadbalancer/policy/EndpointList.java
+++ b/src/main/java/loadbalancer/policy/EndpointList.java
@@ -19,7 +19,8 @@
 
   EndpointList(int machineTypeCount, int requestClassCount, SlowStart slowStart) {
     machineTypes = new MachineTypeStatistics[machineTypeCount];
-    Arrays.setAll(machineTypes, i -> new MachineTypeStatistics(RequestClassStatistics.FLEET_GAIN));
+    Arrays.setAll(
+        machineTypes, i -> new MachineTypeStatistics(RequestClassStatistics.MIN_AVERAGE_GAIN));
     this.requestClassCount = requestClassCount;
     this.slowStart = slowStart;
   }
@@ -40,14 +41,15 @@
     }
     ready =
         endpoints.values().stream()
-            .filter(endpoint -> endpoint.endpoint().state() == EndpointState.READY)
+            .filter(endpoint -> endpoint.listedEndpoint().state() == EndpointState.READY)
             .toList();
   }
 
   private void apply(Endpoint update, EndpointStatistics known, double now) {
     if (update.state() == EndpointState.REMOVED) {
       endpoints.remove(update.id());
-    } else if (known == null || known.endpoint().startedAtMillis() != update.startedAtMillis()) {
+    } else if (known == null
+        || known.listedEndpoint().startedAtMillis() != update.startedAtMillis()) {
       // A restarted endpoint is a new one: warming up, without evidence.
       endpoints.put(update.id(), newEndpoint(update, now));
       slowStart.endpointStarted(update);
@@ -64,6 +66,6 @@
         machineTypes[machineType],
         requestClassCount,
         now,
-        slowStart.firstAccumulatedChance(listed));
+        slowStart.initialAccumulatedProbability(listed));
   }
 }
--- a/src/main/java/loadbalancer/policy/EndpointStatistics.java
+++ b/src/main/java/loadbalancer/policy/EndpointStatistics.java
@@ -25,7 +25,7 @@
   /** Attempts that an endpoint's served share over all classes counts for in that of one class. */
   private static final double ALL_CLASSES_PRIOR_ATTEMPTS = 1;
 
-  private Endpoint endpoint;
+  private Endpoint listedEndpoint;
   private final MachineTypeStatistics machineType;
   private final ArrayDeque<Attempt> inFlight = new ArrayDeque<>();
   private double latencySum;
@@ -37,13 +37,13 @@
   private final double[] attemptsByClass;
   private boolean inSubset;
   private double warmUpBudget;
-  private double accumulatedChance;
-  private double connectionsFullUntil = Double.NEGATIVE_INFINITY;
+  private double accumulatedProbability;
+  private double connectionsFullUntilMillis = Double.NEGATIVE_INFINITY;
   private int consecutiveRejections;
   private boolean late;
-  private double lateAt = Double.NEGATIVE_INFINITY;
+  private double latenessKnownAtMillis = Double.NEGATIVE_INFINITY;
   private double weight;
-  private double decayedAt;
+  private double decayedAtMillis;
 
   EndpointStatistics(
       Endpoint endpoint,
@@ -51,20 +51,20 @@
       int requestClassCount,
       double now,
       double accumulatedChance) {
-    this.endpoint = endpoint;
+    this.listedEndpoint = endpoint;
     this.machineType = machineType;
     this.servedByClass = new double[requestClassCount];
     this.attemptsByClass = new double[requestClassCount];
-    this.accumulatedChance = accumulatedChance;
-    decayedAt = now;
+    this.accumulatedProbability = accumulatedChance;
+    decayedAtMillis = now;
   }
 
-  Endpoint endpoint() {
-    return endpoint;
+  Endpoint listedEndpoint() {
+    return listedEndpoint;
   }
 
   void setEndpoint(Endpoint updated) {
-    endpoint = updated;
+    listedEndpoint = updated;
   }
 
   // ---- Attempts in flight
@@ -90,10 +90,10 @@
 
   /** Decays all evidence to the present. */
   void decay(double now) {
-    if (now - decayedAt < DECAY_STEP_MILLIS) {
+    if (now - decayedAtMillis < DECAY_STEP_MILLIS) {
       return;
     }
-    double factor = Math.exp((decayedAt - now) / EVIDENCE_DECAY_MILLIS);
+    double factor = Math.exp((decayedAtMillis - now) / EVIDENCE_DECAY_MILLIS);
     latencySum *= factor;
     latencyCount *= factor;
     concurrencySum *= factor;
@@ -103,7 +103,7 @@
       servedByClass[i] *= factor;
       attemptsByClass[i] *= factor;
     }
-    decayedAt = now;
+    decayedAtMillis = now;
   }
 
   void recordOutcome(int requestClass, boolean wasServed) {
@@ -134,7 +134,10 @@
         / (latencyCount + LATENCY_PRIOR_SAMPLES);
   }
 
-  /** Mean number of other attempts in flight when the served ones were sent. */
+  /**
+   * Mean number of other attempts in flight when the served ones were sent, pooled with a few
+   * samples that found none.
+   */
   double meanConcurrency() {
     return concurrencySum / (latencyCount + LATENCY_PRIOR_SAMPLES);
   }
@@ -152,7 +155,7 @@
 
   void recordLateness(boolean wasLate, double now) {
     late = wasLate;
-    lateAt = now;
+    latenessKnownAtMillis = now;
   }
 
   /** Whether the last attempt that was judged for overload was late. */
@@ -162,7 +165,7 @@
 
   /** When that attempt was judged; negative infinity if never. */
   double latenessKnownAtMillis() {
-    return lateAt;
+    return latenessKnownAtMillis;
   }
 
   // ---- Rejections and connections
@@ -182,11 +185,11 @@
 
   /** Until when it is taken to accept no more connections. */
   double connectionsFullUntilMillis() {
-    return connectionsFullUntil;
+    return connectionsFullUntilMillis;
   }
 
   void setConnectionsFullUntilMillis(double untilMillis) {
-    connectionsFullUntil = untilMillis;
+    connectionsFullUntilMillis = untilMillis;
   }
 
   // ---- Selection
@@ -199,7 +202,7 @@
     inSubset = preferred;
   }
 
-  /** Its weight in the selection under way. */
+  /** Its weight in the selection under way; also the sort key while the subset is chosen. */
   double weight() {
     return weight;
   }
@@ -217,20 +220,20 @@
     warmUpBudget = budget;
   }
 
-  /** Chances of the selections while warming up, added up, less the attempts sent. */
-  double accumulatedChance() {
-    return accumulatedChance;
+  /** Sum of its selection probabilities while warming up, less the attempts sent. */
+  double accumulatedProbability() {
+    return accumulatedProbability;
   }
 
-  /** Takes it out of the selection under way, for a chance that counts towards its next turn. */
-  void spendWarmUpChance(double chance) {
-    warmUpBudget -= chance;
-    accumulatedChance += chance;
+  /** Takes it out of the selection under way; the probability counts towards its next attempt. */
+  void spendWarmUpBudget(double probability) {
+    warmUpBudget -= probability;
+    accumulatedProbability += probability;
     weight = 0;
   }
 
-  /** Its turn is used. */
-  void takeTurn() {
-    accumulatedChance -= 1;
+  /** An attempt is sent to it for the accumulated probability. */
+  void subtractAttempt() {
+    accumulatedProbability -= 1;
   }
 }
--- a/src/main/java/loadbalancer/policy/EndpointSubset.java
+++ b/src/main/java/loadbalancer/policy/EndpointSubset.java
@@ -39,8 +39,8 @@
     List<EndpointStatistics> ordered = new ArrayList<>(ready);
     ordered.forEach(endpoint -> endpoint.setWeight(shuffleKey(endpoint, round)));
     ordered.sort(
-        Comparator.<EndpointStatistics>comparingInt(endpoint -> endpoint.endpoint().zone())
-            .thenComparingInt(endpoint -> endpoint.endpoint().machineType())
+        Comparator.<EndpointStatistics>comparingInt(endpoint -> endpoint.listedEndpoint().zone())
+            .thenComparingInt(endpoint -> endpoint.listedEndpoint().machineType())
             .thenComparingDouble(EndpointStatistics::weight));
     for (int i = 0; i < ordered.size(); i++) {
       ordered.get(i).setInSubset((i + instanceIndex) % stride == 0);
@@ -48,6 +48,7 @@
   }
 
   private static double shuffleKey(EndpointStatistics endpoint, long round) {
-    return new SplittableRandom(endpoint.endpoint().id() * SEED_MULTIPLIER + round).nextDouble();
+    return new SplittableRandom(endpoint.listedEndpoint().id() * SEED_MULTIPLIER + round)
+        .nextDouble();
   }
 }
--- a/src/main/java/loadbalancer/policy/HedgingPolicy.java
+++ b/src/main/java/loadbalancer/policy/HedgingPolicy.java
@@ -12,7 +12,7 @@
  */
 final class HedgingPolicy {
 
-  /** That multiple before any latency was seen. */
+  /** Initial slow ratio, before any latency was seen. */
   static final double FIRST_SLOW_RATIO = 3;
 
   private static final double MIN_SLOW_RATIO = 1.5;
@@ -28,7 +28,7 @@
   private static final double ABANDON_DELAY_RATIO = 2;
 
   /** No hedges at this overload level or above: they would add to the load. */
-  static final double MAX_OVERLOAD_LEVEL = 0.05;
+  static final double OVERLOAD_LIMIT = 0.05;
 
   private final LimitSettings limits;
   private final RetryBudget budget;
@@ -79,7 +79,7 @@
         && request.attempts().size() == attempt + 1
         && request.attempts().get(attempt).isRunning()
         && budget.hasToken()
-        && request.statistics().placementGroup().overload().level() < MAX_OVERLOAD_LEVEL
+        && request.statistics().placementGroup().overload().level() < OVERLOAD_LIMIT
         && request.usefulUntilMillis() - now > request.expectedLatencyMillis();
   }
 
--- a/src/main/java/loadbalancer/policy/IdleConnectionRelease.java
+++ b/src/main/java/loadbalancer/policy/IdleConnectionRelease.java
@@ -22,7 +22,7 @@
       endpoint.setConnectionsFullUntilMillis(now + idleTimeoutMillis);
     }
     if (now < endpoint.connectionsFullUntilMillis() && endpoint.inFlightCount() == 0) {
-      actions.closeIdleConnections(endpoint.endpoint().id());
+      actions.closeIdleConnections(endpoint.listedEndpoint().id());
     }
   }
 }
--- a/src/main/java/loadbalancer/policy/InFlightRequest.java
+++ b/src/main/java/loadbalancer/policy/InFlightRequest.java
@@ -12,30 +12,30 @@
   /** Share of the expected latency that grows with the request's cost; the rest is queueing. */
   private static final double COST_DEPENDENT_SHARE = 0.5;
 
-  private final ClientRequest request;
+  private final ClientRequest clientRequest;
   private final RequestClass requestClass;
   private final RequestClassStatistics statistics;
   private final long id;
-  private final double arrivedAt;
-  private final double usefulUntil;
+  private final double arrivedAtMillis;
+  private final double usefulUntilMillis;
   private final List<Attempt> attempts = new ArrayList<>(2);
 
   /** The unsettled requests of its key in order of arrival, this one included; null if unkeyed. */
   private ArrayDeque<InFlightRequest> keyQueue;
 
-  private double settlesAt = Double.NEGATIVE_INFINITY;
-  private double queuedUntil;
+  private double settlesAtMillis = Double.NEGATIVE_INFINITY;
+  private double queuedUntilMillis;
   private int running;
   private boolean done;
   private boolean streaming;
 
   InFlightRequest(ClientRequest request, RequestClassStatistics statistics, double arrivedAt) {
-    this.request = request;
+    this.clientRequest = request;
     this.statistics = statistics;
-    this.requestClass = statistics.type();
+    this.requestClass = statistics.requestClass();
     this.id = request.id();
-    this.arrivedAt = arrivedAt;
-    this.usefulUntil = endOfUse(request, requestClass, arrivedAt);
+    this.arrivedAtMillis = arrivedAt;
+    this.usefulUntilMillis = endOfUse(request, requestClass, arrivedAt);
   }
 
   /** A late response without value is not worth its work: the objective is then the deadline. */
@@ -49,8 +49,8 @@
         request.deadlineMillis(), arrivedAt + Math.min(type.deadlineMillis(), objectiveMillis));
   }
 
-  ClientRequest request() {
-    return request;
+  ClientRequest clientRequest() {
+    return clientRequest;
   }
 
   RequestClass requestClass() {
@@ -66,12 +66,12 @@
   }
 
   double arrivedAtMillis() {
-    return arrivedAt;
+    return arrivedAtMillis;
   }
 
   /** When a response stops being worth its work. */
   double usefulUntilMillis() {
-    return usefulUntil;
+    return usefulUntilMillis;
   }
 
   List<Attempt> attempts() {
@@ -119,26 +119,26 @@
 
   /** Until when an abandoned attempt may still be running. */
   double settlesAtMillis() {
-    return settlesAt;
+    return settlesAtMillis;
   }
 
   void setSettlesAtMillis(double atMillis) {
-    settlesAt = atMillis;
+    settlesAtMillis = atMillis;
   }
 
   /** Until when it stays queued if no endpoint is found. */
   double queuedUntilMillis() {
-    return queuedUntil;
+    return queuedUntilMillis;
   }
 
   void setQueuedUntilMillis(double untilMillis) {
-    queuedUntil = untilMillis;
+    queuedUntilMillis = untilMillis;
   }
 
   /** Its expected work relative to the mean of its class; 1 if unknown. */
   double relativeCost() {
     double mean = statistics.meanCostMillis();
-    return request.costMillis() > 0 && mean > 0 ? request.costMillis() / mean : 1;
+    return clientRequest.costMillis() > 0 && mean > 0 ? clientRequest.costMillis() / mean : 1;
   }
 
   /** Its expected latency relative to the mean of its class. */
--- a/src/main/java/loadbalancer/policy/KeyedRequestQueue.java
+++ b/src/main/java/loadbalancer/policy/KeyedRequestQueue.java
@@ -16,7 +16,7 @@
 
   /** Queues a request behind those of its key, if its class is ordered and it has one. */
   void add(InFlightRequest request) {
-    long key = request.request().key();
+    long key = request.clientRequest().key();
     if (request.requestClass().orderedByKey() && key != 0) {
       ArrayDeque<InFlightRequest> queue = queues.computeIfAbsent(key, k -> new ArrayDeque<>());
       request.setKeyQueue(queue);
@@ -67,7 +67,7 @@
     boolean wasFirst = queue.peekFirst() == request;
     queue.remove(request);
     if (queue.isEmpty()) {
-      queues.remove(request.request().key());
+      queues.remove(request.clientRequest().key());
       return null;
     }
     return wasFirst ? queue.peekFirst() : null;
--- a/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
+++ b/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
@@ -152,7 +152,7 @@
           TimerToken.lateAttempt(request.id(), attempt.number()),
           now + OverloadDetector.lateAfterMillis(request));
     }
-    actions.sendAttempt(request.id(), endpoint.endpoint().id(), timeoutMillis);
+    actions.sendAttempt(request.id(), endpoint.listedEndpoint().id(), timeoutMillis);
   }
 
   @Override
--- a/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
+++ b/src/main/java/loadbalancer/policy/LoadBalancingPolicy.java
@@ -14,8 +14,8 @@
  * <p>An instance has no clock, thread or socket of its own. Its host calls one event method at a
  * time, each with the time at which the event happens, and carries out what the instance asks of
  * its {@link PolicyActions} during that call. All times and durations are in milliseconds; the
- * clock has no special zero and never goes back. The same events, settings and seed give the same
- * actions. Not thread-safe.
+ * clock is that of {@link Endpoint#startedAtMillis} and never goes back. The same events, settings
+ * and seed give the same actions. Not thread-safe.
  */
 public interface LoadBalancingPolicy {
 
--- a/src/main/java/loadbalancer/policy/OverloadDetector.java
+++ b/src/main/java/loadbalancer/policy/OverloadDetector.java
@@ -12,7 +12,7 @@
  */
 final class OverloadDetector {
 
-  /** An attempt is late after this share of the objective, plus the value of a late response. */
+  /** An attempt is late after (this share + late response value) x objective. */
   private static final double LATE_OBJECTIVE_SHARE = 0.5;
 
   /** Change of the level in a second of late attempts, and in one of timely ones. */
@@ -37,9 +37,9 @@
 
   private final RequestClass placement;
   private double level;
-  private double levelUpdatedAt;
+  private double levelUpdatedAtMillis;
   private double servedWhileAdmitting = 1;
-  private double servedWhileAdmittingAt;
+  private double servedWhileAdmittingAtMillis;
 
   OverloadDetector(RequestClass placement) {
     this.placement = placement;
@@ -53,7 +53,7 @@
         * Math.max(1, request.relativeCost());
   }
 
-  /** The overload level, 0 to 1: 0 if nothing is late. */
+  /** The overload level, 0 to 0.95: 0 if nothing is late. */
   double level() {
     return level;
   }
@@ -64,6 +64,7 @@
    * rejecting would only lose them.
    */
   double rejectedShare() {
+    // Late requests in excess of the served ones: rejecting one loses what might be served.
     double lateBeyondServed = 1 - 2 * servedWhileAdmitting;
     return Math.min(level, Math.max(UNCONFIRMED_REJECTED_SHARE, lateBeyondServed));
   }
@@ -71,17 +72,17 @@
   /** Records how an attempt fared that was sent while most work was admitted. */
   void recordOutcome(Attempt attempt, boolean served, double now) {
     if (attempt.rejectedShareAtSend() < MOSTLY_ADMITTED_SHARE) {
-      double decay = Math.exp((servedWhileAdmittingAt - now) / MAX_LATE_INTERVAL_MILLIS);
+      double decay = Math.exp((servedWhileAdmittingAtMillis - now) / MAX_LATE_INTERVAL_MILLIS);
       servedWhileAdmitting = decay * servedWhileAdmitting + (served ? 1 - decay : 0);
-      servedWhileAdmittingAt = now;
+      servedWhileAdmittingAtMillis = now;
     }
   }
 
   /** Lowers the level for an attempt that was served in time. */
   void recordTimely(Attempt attempt, double now) {
     attempt.endpoint().recordLateness(false, now);
-    double seconds = (now - levelUpdatedAt) / MILLIS_PER_SECOND;
-    levelUpdatedAt = now;
+    double seconds = (now - levelUpdatedAtMillis) / MILLIS_PER_SECOND;
+    levelUpdatedAtMillis = now;
     level = Math.max(0, level - LEVEL_FALL_PER_SECOND * seconds);
   }
 
@@ -95,8 +96,9 @@
     if (!mostEndpointsAreLate(ready, now)) {
       return;
     }
-    double seconds = Math.min(MAX_LATE_INTERVAL_MILLIS, now - levelUpdatedAt) / MILLIS_PER_SECOND;
-    levelUpdatedAt = now;
+    double seconds =
+        Math.min(MAX_LATE_INTERVAL_MILLIS, now - levelUpdatedAtMillis) / MILLIS_PER_SECOND;
+    levelUpdatedAtMillis = now;
     double limit = Math.min(MAX_LEVEL, attempt.rejectedShareAtSend() + MAX_RISE_ABOVE_SEND);
     level = Math.max(level, Math.min(limit, level + LEVEL_RISE_PER_SECOND * seconds));
   }
@@ -105,7 +107,7 @@
   private boolean mostEndpointsAreLate(List<EndpointStatistics> ready, double now) {
     double balance = 0;
     for (EndpointStatistics endpoint : ready) {
-      if (placement.allows(endpoint.endpoint())
+      if (placement.allows(endpoint.listedEndpoint())
           && now - endpoint.latenessKnownAtMillis() < EndpointStatistics.EVIDENCE_DECAY_MILLIS) {
         double attempts = endpoint.attempts() + endpoint.inFlightCount();
         balance += endpoint.wasLate() ? attempts : -attempts;
--- a/src/main/java/loadbalancer/policy/PendingRequests.java
+++ b/src/main/java/loadbalancer/policy/PendingRequests.java
@@ -36,7 +36,8 @@
     request.setQueuedUntilMillis(
         Math.min(
             latestSendMillis,
-            arrivedAt + MAX_QUEUED_TIME_SHARE * (request.request().deadlineMillis() - arrivedAt)));
+            arrivedAt
+                + MAX_QUEUED_TIME_SHARE * (request.clientRequest().deadlineMillis() - arrivedAt)));
   }
 
   /** Whether a request that was not sent may stay queued. */
--- a/src/main/java/loadbalancer/policy/PlacementGroup.java
+++ b/src/main/java/loadbalancer/policy/PlacementGroup.java
@@ -16,7 +16,7 @@
     this.placement = placement;
     this.classes =
         Arrays.stream(allClasses)
-            .filter(other -> samePlacement(placement, other.type()))
+            .filter(other -> samePlacement(placement, other.requestClass()))
             .toArray(RequestClassStatistics[]::new);
     this.overload = new OverloadDetector(placement);
   }
@@ -26,7 +26,7 @@
     PlacementGroup[] groups =
         Arrays.stream(allClasses)
             .filter(type -> firstOfPlacement(type, allClasses) == type)
-            .map(type -> new PlacementGroup(type.type(), allClasses))
+            .map(type -> new PlacementGroup(type.requestClass(), allClasses))
             .toArray(PlacementGroup[]::new);
     for (PlacementGroup group : groups) {
       for (RequestClassStatistics member : group.classes) {
@@ -39,7 +39,7 @@
   private static RequestClassStatistics firstOfPlacement(
       RequestClassStatistics type, RequestClassStatistics[] allClasses) {
     return Arrays.stream(allClasses)
-        .filter(other -> samePlacement(type.type(), other.type()))
+        .filter(other -> samePlacement(type.requestClass(), other.requestClass()))
         .findFirst()
         .orElse(type);
   }
--- a/src/main/java/loadbalancer/policy/PolicyActions.java
+++ b/src/main/java/loadbalancer/policy/PolicyActions.java
@@ -29,13 +29,15 @@
   /** Stops waiting for one attempt. */
   void cancelAttempt(long requestId, int attempt);
 
-  /** Sends a health check. */
+  /** Sends a health check. {@link LatencyWeightedPolicy} does not use it. */
   void checkHealth(long endpointId);
 
   /** Closes this instance's idle connections to an endpoint. */
   void closeIdleConnections(long endpointId);
 
-  /** Asks discovery once for the whole endpoint list. */
+  /**
+   * Asks discovery once for the whole endpoint list. {@link LatencyWeightedPolicy} does not use it.
+   */
   void fetchEndpoints();
 
   /** Starts to watch the endpoint list anew, or ends the watch. */
@@ -44,7 +46,10 @@
   /** Asks for a {@link LoadBalancingPolicy#timerExpired} event at or after the given time. */
   void scheduleTimer(long token, double atMillis);
 
-  /** Sends a message to one instance of this tier, or to all with {@link #ALL_PEERS}. */
+  /**
+   * Sends a message to one instance of this tier, or to all with {@link #ALL_PEERS}. {@link
+   * LatencyWeightedPolicy} does not use it.
+   */
   void sendToPeer(int peerIndex, byte[] payload);
 
   /** Writes a line to the host's log. */
--- a/src/main/java/loadbalancer/policy/RequestClassStatistics.java
+++ b/src/main/java/loadbalancer/policy/RequestClassStatistics.java
@@ -6,37 +6,37 @@
 final class RequestClassStatistics {
 
   /** Gain of the averages over all endpoints. */
-  static final double FLEET_GAIN = 0.02;
+  static final double MIN_AVERAGE_GAIN = 0.02;
 
   /** Expected latency before any was seen, as a share of the latency objective. */
   private static final double FIRST_LATENCY_OBJECTIVE_SHARE = 0.2;
 
   private final int index;
-  private final RequestClass type;
+  private final RequestClass requestClass;
   private final ExponentialMovingAverage latency;
-  private final ExponentialMovingAverage cost = new ExponentialMovingAverage(0, FLEET_GAIN);
+  private final ExponentialMovingAverage cost = new ExponentialMovingAverage(0, MIN_AVERAGE_GAIN);
   private final ExponentialMovingAverage clientRetryShare =
-      new ExponentialMovingAverage(0, FLEET_GAIN);
+      new ExponentialMovingAverage(0, MIN_AVERAGE_GAIN);
   private PlacementGroup placementGroup;
   private double trafficShare;
   private double rejectedShare;
-  private double nextSelectionAt = Double.NEGATIVE_INFINITY;
+  private double nextSelectionAtMillis = Double.NEGATIVE_INFINITY;
   private double slowRatio = HedgingPolicy.FIRST_SLOW_RATIO;
 
   RequestClassStatistics(int index, RequestClass type) {
     this.index = index;
-    this.type = type;
+    this.requestClass = type;
     latency =
         new ExponentialMovingAverage(
-            FIRST_LATENCY_OBJECTIVE_SHARE * type.latencyObjectiveMillis(), FLEET_GAIN);
+            FIRST_LATENCY_OBJECTIVE_SHARE * type.latencyObjectiveMillis(), MIN_AVERAGE_GAIN);
   }
 
   int index() {
     return index;
   }
 
-  RequestClass type() {
-    return type;
+  RequestClass requestClass() {
+    return requestClass;
   }
 
   /** The classes that may go to the same endpoints. */
@@ -82,7 +82,7 @@
 
   /** Moves the share for one arrival, of this class or of another. */
   void updateTrafficShare(boolean ofThisClass) {
-    trafficShare += FLEET_GAIN * ((ofThisClass ? 1 : 0) - trafficShare);
+    trafficShare += MIN_AVERAGE_GAIN * ((ofThisClass ? 1 : 0) - trafficShare);
   }
 
   /** Share of its requests to reject on arrival, 0 to 1. */
@@ -96,11 +96,11 @@
 
   /** When its queued requests next look for an endpoint. */
   double nextSelectionAtMillis() {
-    return nextSelectionAt;
+    return nextSelectionAtMillis;
   }
 
   void setNextSelectionAtMillis(double atMillis) {
-    nextSelectionAt = atMillis;
+    nextSelectionAtMillis = atMillis;
   }
 
   /** The multiple of the expected latency that only slow attempts exceed. */
--- a/src/main/java/loadbalancer/policy/RequestClassValue.java
+++ b/src/main/java/loadbalancer/policy/RequestClassValue.java
@@ -4,7 +4,7 @@
 final class RequestClassValue {
 
   /** Least traffic share that a class is reckoned with: keeps ratios finite. */
-  static final double MIN_TRAFFIC_SHARE = 1e-6;
+  static final double MIN_SHARE = 1e-6;
 
   private final boolean priorityByWork;
 
@@ -18,14 +18,13 @@
   /** Work that the class asks for, in milliseconds per arriving request of any class. */
   double work(RequestClassStatistics type) {
     double meanCost = type.meanCostMillis();
-    return (type.trafficShare() + MIN_TRAFFIC_SHARE)
-        * (meanCost > 0 ? meanCost : type.latencyMillis());
+    return (type.trafficShare() + MIN_SHARE) * (meanCost > 0 ? meanCost : type.latencyMillis());
   }
 
   /** Value of serving the class, in units of priority weight. */
   double value(RequestClassStatistics type) {
-    return type.type().priorityWeight()
-        * (priorityByWork ? work(type) : type.trafficShare() + MIN_TRAFFIC_SHARE);
+    return type.requestClass().priorityWeight()
+        * (priorityByWork ? work(type) : type.trafficShare() + MIN_SHARE);
   }
 
   double valuePerWork(RequestClassStatistics type) {
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -10,25 +10,29 @@
 /**
  * Limits what warming endpoints are sent: they collapse at a multiple of their present capacity.
  *
- * <p>Every request grants the warming endpoints open to it a fraction of an attempt: their share of
- * the warm capacity times the allowed multiple, less a margin. These fractions need no history and
- * add up over the instances. Requests are counted, not attempts, so that endpoints that all start
- * at once begin to be used. A grant replaces the one before: saved grants of many instances would
- * reach an endpoint at once when others fail.
+ * <p>Budget: every arriving request gives each warming endpoint that it may go to a fraction of an
+ * attempt, warmUpFraction x collapse multiple x {@link #COLLAPSE_BUDGET_SHARE} / warm capacity. It
+ * replaces the budget before, since budgets saved by many instances would be spent on one endpoint
+ * at once when others fail. Arrivals count, not attempts: endpoints that all start at once get
+ * some.
+ *
+ * <p>Systematic sampling: the probabilities with which an endpoint would have been selected add up,
+ * and it gets an attempt when they reach 1. Its load then depends on the traffic of all instances
+ * and not on how many they are.
  */
 final class SlowStart {
 
   /** Share of the multiple at which an endpoint collapses that its budget uses. */
   private static final double COLLAPSE_BUDGET_SHARE = 0.3;
 
-  /** One part in so many of the open endpoints counts as warm: limits the grants when none is. */
+  /** At least open endpoints / this count as warm, which limits the budget when none is. */
   private static final double MIN_WARM_DIVISOR = 2.0;
 
-  /** Divides how much of the budget moves into the subset: one instance may have most traffic. */
+  /** Halves the shift of budget into the subset, as one instance may have most of the traffic. */
   private static final double SUBSET_SHIFT_DIVISOR = 2.0;
 
   private final PolicySettings settings;
-  private double warmUpEndsAt = Double.NEGATIVE_INFINITY;
+  private double warmUpEndsAtMillis = Double.NEGATIVE_INFINITY;
 
   SlowStart(PolicySettings settings) {
     this.settings = settings;
@@ -37,19 +41,20 @@
   /** An endpoint is listed that has started at a known time. */
   void endpointStarted(Endpoint endpoint) {
     if (endpoint.startedAtMillis() != 0) {
-      warmUpEndsAt =
-          Math.max(warmUpEndsAt, endpoint.startedAtMillis() + settings.rules().warmUpMillis());
+      warmUpEndsAtMillis =
+          Math.max(
+              warmUpEndsAtMillis, endpoint.startedAtMillis() + settings.rules().warmUpMillis());
     }
   }
 
   /** Whether an endpoint may be warming up. */
   boolean isActive(double now) {
-    return now < warmUpEndsAt;
+    return now < warmUpEndsAtMillis;
   }
 
   /** The share of its capacity, 0 to 1, that an endpoint has; it grows evenly over the warm-up. */
   double warmUpFraction(EndpointStatistics endpoint, double now) {
-    double startedAt = endpoint.endpoint().startedAtMillis();
+    double startedAt = endpoint.listedEndpoint().startedAtMillis();
     double age = now - startedAt;
     if (startedAt == 0 || age >= settings.rules().warmUpMillis()) {
       return 1;
@@ -59,10 +64,10 @@
   }
 
   /**
-   * The accumulated chance of a new endpoint, 0 to 1: the instances start at even distances, so
-   * that their turns do not coincide.
+   * The accumulated probability that a new endpoint begins with, 0 to 1: evenly spaced over the
+   * instances, so that they do not all send to it at once.
    */
-  double firstAccumulatedChance(Endpoint endpoint) {
+  double initialAccumulatedProbability(Endpoint endpoint) {
     double first =
         new SplittableRandom(endpoint.id()).nextDouble()
             + (double) settings.instanceIndex() / Math.max(1, settings.instanceCount());
@@ -70,8 +75,8 @@
   }
 
   /**
-   * Grants the endpoints open to an arriving request their budget. Where the instance prefers a
-   * subset, part of the budget moves into it, as the rest would lapse; over all instances the sum
+   * Sets the budget of the endpoints that an arriving request may go to. Where the instance prefers
+   * a subset, part of the budget moves into it, as the rest would lapse; over all instances the sum
    * is the same.
    */
   void grantBudget(
@@ -81,7 +86,7 @@
     }
     List<EndpointStatistics> open =
         ready.stream()
-            .filter(endpoint -> request.requestClass().allows(endpoint.endpoint()))
+            .filter(endpoint -> request.requestClass().allows(endpoint.listedEndpoint()))
             .toList();
     double warm = open.stream().mapToDouble(endpoint -> warmUpFraction(endpoint, now)).sum();
     double part =
@@ -101,52 +106,52 @@
   }
 
   /**
-   * The part of the warming endpoints in a selection: each has its chance in proportion to its
-   * weight, or its budget where that is less, and leaves the selection. Systematic sampling: the
-   * chances add up, and an endpoint is selected when they make a whole attempt, so that its load
-   * depends on the traffic of all instances and not on their number.
+   * Takes the warming endpoints out of a selection. Each accumulates its probability, which is in
+   * proportion to its weight but at most its budget.
    *
-   * @return the endpoint whose turn it is, or null
+   * @return the endpoint whose accumulated probability has reached 1, the highest one; or null
    */
   EndpointStatistics select(List<EndpointStatistics> ready, double now) {
     List<EndpointStatistics> warming = new ArrayList<>(ready);
     warming.removeIf(endpoint -> endpoint.weight() == 0 || warmUpFraction(endpoint, now) >= 1);
-    double chancePerWeight = spendWithinBudgets(warming, ready);
+    double probabilityPerWeight = spendWithinBudgets(warming, ready);
     for (EndpointStatistics endpoint : warming) {
-      endpoint.spendWarmUpChance(endpoint.weight() > 0 ? chancePerWeight * endpoint.weight() : 0);
+      endpoint.spendWarmUpBudget(
+          endpoint.weight() > 0 ? probabilityPerWeight * endpoint.weight() : 0);
     }
     EndpointStatistics due =
         warming.stream()
-            .filter(endpoint -> endpoint.accumulatedChance() >= 1)
-            .max(Comparator.comparingDouble(EndpointStatistics::accumulatedChance))
+            .filter(endpoint -> endpoint.accumulatedProbability() >= 1)
+            .max(Comparator.comparingDouble(EndpointStatistics::accumulatedProbability))
             .orElse(null);
     if (due != null) {
-      due.takeTurn();
+      due.subtractAttempt();
     }
     return due;
   }
 
   /**
-   * Takes out the endpoints whose budget is less than their chance, until none is left.
+   * Takes out the endpoints whose budget is less than their probability, until none is left.
    *
-   * @return the chance for each unit of weight that the others share
+   * @return the probability for each unit of weight that is left to the others
    */
   private static double spendWithinBudgets(
       List<EndpointStatistics> warming, List<EndpointStatistics> ready) {
     double remaining = 1;
-    double chancePerWeight;
+    double probabilityPerWeight;
     boolean limited;
     do {
-      chancePerWeight = remaining / ready.stream().mapToDouble(EndpointStatistics::weight).sum();
+      probabilityPerWeight =
+          remaining / ready.stream().mapToDouble(EndpointStatistics::weight).sum();
       limited = false;
       for (EndpointStatistics endpoint : warming) {
-        if (endpoint.warmUpBudget() < chancePerWeight * endpoint.weight()) {
+        if (endpoint.warmUpBudget() < probabilityPerWeight * endpoint.weight()) {
           remaining = Math.max(0, remaining - endpoint.warmUpBudget());
-          endpoint.spendWarmUpChance(endpoint.warmUpBudget());
+          endpoint.spendWarmUpBudget(endpoint.warmUpBudget());
           limited = true;
         }
       }
     } while (limited);
-    return chancePerWeight;
+    return probabilityPerWeight;
   }
 }
--- a/src/main/java/loadbalancer/policy/TimerToken.java
+++ b/src/main/java/loadbalancer/policy/TimerToken.java
@@ -1,8 +1,8 @@
 package loadbalancer.policy;
 
 /**
- * The tokens of {@link PolicyActions#scheduleTimer}: a request's number, and in the lowest eight
- * bits the purpose of its timer and the number of the attempt that it is for.
+ * The tokens of {@link PolicyActions#scheduleTimer}: a request ID, and in the lowest eight bits the
+ * purpose of its timer and the number of the attempt that it is for, 0 to 126.
  */
 final class TimerToken {
 
--- a/src/main/java/loadbalancer/proxy/InFlightExchange.java
+++ b/src/main/java/loadbalancer/proxy/InFlightExchange.java
@@ -17,6 +17,9 @@
  */
 final class InFlightExchange implements RequestDispatcher.DispatchedRequest {
 
+  /** The share of the response grace after which a request without a response is overdue. */
+  private static final double OVERDUE_GRACE_SHARE = 0.5;
+
   private final long id;
   private final FullHttpRequest request;
   private final double deadlineMillis;
@@ -145,7 +148,12 @@
     if (overdueTimer != null) {
       overdueTimer.cancel(false);
     }
-    attempts.stream().filter(Objects::nonNull).forEach(UpstreamAttempt::abandonUnlessWritten);
+    attempts.stream().filter(Objects::nonNull).forEach(UpstreamAttempt::abandonIfConnecting);
+  }
+
+  /** When the request has to be failed if the policy has left it without a response. */
+  double overdueAtMillis(double responseGraceMillis) {
+    return deadlineMillis + OVERDUE_GRACE_SHARE * responseGraceMillis;
   }
 
   /** Whether nothing more can happen to the exchange. */
--- a/src/main/java/loadbalancer/proxy/PolicyDriver.java
+++ b/src/main/java/loadbalancer/proxy/PolicyDriver.java
@@ -37,8 +37,8 @@
 
 /**
  * Connects the sockets to the policy: notifies the policy of what happens on the sockets, one event
- * at a time, and carries out the actions that the policy asks for. Makes no decision itself. Used
- * on the event loop thread only, except for {@link #awaitFirstUpdate}.
+ * at a time, and carries out the actions that the policy asks for. Used on the event loop thread
+ * only, except for {@link #awaitFirstUpdate}.
  */
 final class PolicyDriver implements PolicyActions, RequestDispatcher {
 
@@ -197,7 +197,7 @@
         new InFlightExchange(
             request.id(), message, request.deadlineMillis(), responder, this::clientDisconnected);
     exchanges.put(exchange.id(), exchange);
-    double overdueMillis = exchange.deadlineMillis() + settings.rules().responseGraceMillis() / 2;
+    double overdueMillis = exchange.overdueAtMillis(settings.rules().responseGraceMillis());
     exchange.setOverdueTimer(
         loop.schedule(
             () -> failOverdue(exchange), clock.nanosUntil(overdueMillis), TimeUnit.NANOSECONDS));
--- a/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
@@ -42,16 +42,16 @@
   /** More than the kernel buffers for a connection. */
   private static final int MAX_UNREAD_BYTES = 16 * 1024 * 1024;
 
-  /** For a request that has begun to arrive to be complete. */
+  /** Longest time from the first byte of a request to its last. */
   private static final double REQUEST_TIMEOUT_MILLIS = 2_300;
 
-  /** For the first byte of the first request. */
+  /** Longest time from the accept to the first byte of a request. */
   private static final double FIRST_REQUEST_TIMEOUT_MILLIS = 2_300;
 
-  /** For the first byte of a further request. */
+  /** Longest time from a response to the first byte of the next request. */
   private static final double KEEP_ALIVE_TIMEOUT_MILLIS = 3_000;
 
-  /** For the client to accept a response. */
+  /** Longest time for the client to take a response off the connection. */
   private static final double WRITE_TIMEOUT_MILLIS = 10_000;
 
   private final Frontend frontend;
@@ -66,7 +66,7 @@
   private final LingeringClose lingeringClose;
 
   /** The earliest time at which the connection may have been made. */
-  private final double earliestConnectAt;
+  private final double earliestConnectAtMillis;
 
   /** The event loop's iteration that accepted the connection. */
   private final long acceptIteration;
@@ -78,7 +78,7 @@
 
   private boolean processing;
   private boolean hasResponded;
-  private double lastActivityAt;
+  private double lastActivityAtMillis;
 
   ClientConnection(
       Frontend frontend, RequestDispatcher dispatcher, EventLoopMonitor monitor, Channel channel) {
@@ -91,9 +91,9 @@
     currentRequest = new CurrentRequest(frontend, dispatcher, this);
     responseWriter = new ResponseWriter(channel, this::onAllWritten);
     lingeringClose = new LingeringClose(channel, decoder);
-    earliestConnectAt = earliestArrivalOfPendingEvents();
+    earliestConnectAtMillis = earliestArrivalOfPendingEvents();
     acceptIteration = monitor.iterationCount();
-    lastActivityAt = dispatcher.now();
+    lastActivityAtMillis = dispatcher.now();
   }
 
   ChannelHandler decoder() {
@@ -109,8 +109,8 @@
   }
 
   /** When it was accepted, had its last response, or began the request that is arriving. */
-  double lastActivityAt() {
-    return lastActivityAt;
+  double lastActivityAtMillis() {
+    return lastActivityAtMillis;
   }
 
   private boolean isIdle() {
@@ -179,7 +179,7 @@
 
   /** Enforces the timeouts. */
   void checkTimeouts(double now) {
-    double age = now - lastActivityAt;
+    double age = now - lastActivityAtMillis;
     if (state != State.SERVING || responseWriter.hasPendingWrites()) {
       if (age > WRITE_TIMEOUT_MILLIS) {
         channel.close();
@@ -195,7 +195,7 @@
 
   private void onFirstByte() {
     if (hasResponded && !currentRequest.isPresent()) {
-      lastActivityAt = dispatcher.now();
+      lastActivityAtMillis = dispatcher.now();
     }
   }
 
@@ -254,7 +254,7 @@
    */
   private double earliestArrivalOfReadBytes() {
     boolean justAccepted = monitor.iterationCount() - acceptIteration <= 1;
-    return justAccepted ? earliestConnectAt : earliestArrivalOfPendingEvents();
+    return justAccepted ? earliestConnectAtMillis : earliestArrivalOfPendingEvents();
   }
 
   private double earliestArrivalOfPendingEvents() {
@@ -330,8 +330,8 @@
   }
 
   @Override
-  public void respond(HttpResponseStatus status, ByteBuf body, double retryAfter) {
-    write(status, body.retain(), retryAfter);
+  public void respond(HttpResponseStatus status, ByteBuf body, double retryAfterMillis) {
+    write(status, body.retain(), retryAfterMillis);
   }
 
   /** Writes a response, whose body it takes over, and goes on to the next request. */
@@ -341,7 +341,7 @@
     }
     currentRequest.finish();
     hasResponded = true;
-    lastActivityAt = dispatcher.now();
+    lastActivityAtMillis = dispatcher.now();
     frontend.onResponse(this);
     responseWriter.write(status, body, retryAfterMillis, state != State.SERVING);
     if (state == State.SERVING) {
--- a/src/main/java/loadbalancer/proxy/frontend/Frontend.java
+++ b/src/main/java/loadbalancer/proxy/frontend/Frontend.java
@@ -182,7 +182,7 @@
     for (ClientConnection connection : new ArrayList<>(connections)) {
       // A closed connection stays listed until its event; to count it again would free nothing.
       if (connection.isOpen()
-          && connection.lastActivityAt() < before
+          && connection.lastActivityAtMillis() < before
           && (connection.isLingering() || connection.closeIfIdle())) {
         connection.close();
         return true;
@@ -217,7 +217,7 @@
   void onAccepted(ClientConnection connection, Channel channel) {
     descriptors.track(channel);
     connections.add(connection);
-    if (!descriptors.canAcceptClient(connection.lastActivityAt())) {
+    if (!descriptors.canAcceptClient(connection.lastActivityAtMillis())) {
       // Netty stops accepting for a second after it has failed for want of a descriptor.
       serverChannel.config().setAutoRead(false);
     }
--- a/src/main/java/loadbalancer/proxy/frontend/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/frontend/RequestDispatcher.java
@@ -41,9 +41,9 @@
      * Writes the final response; called at most once.
      *
      * @param body not to be kept after this returns
-     * @param retryAfter when to come back, in milliseconds; 0 for no advice
+     * @param retryAfterMillis when to come back, in milliseconds; 0 for no advice
      */
-    void respond(HttpResponseStatus status, ByteBuf body, double retryAfter);
+    void respond(HttpResponseStatus status, ByteBuf body, double retryAfterMillis);
 
     /**
      * Whether the client is still connected as far as the kernel knows, which the event loop may
--- a/src/main/java/loadbalancer/proxy/frontend/RequestValidator.java
+++ b/src/main/java/loadbalancer/proxy/frontend/RequestValidator.java
@@ -9,7 +9,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.regex.Pattern;
-import loadbalancer.model.ClientRequest;
 import loadbalancer.model.Idempotency;
 import loadbalancer.model.RequestClass;
 import loadbalancer.proxy.config.ProxyConfig;
@@ -20,8 +19,8 @@
 
   private static final int MILLIS_PER_SECOND = 1_000;
 
-  /** Units of the cost estimate on the wire in one unit of {@link ClientRequest#costMillis}. */
-  private static final int ESTIMATE_UNITS_PER_COST_UNIT = 1_000;
+  /** The cost estimate is in microseconds on the wire. */
+  private static final int MICROS_PER_MILLI = 1_000;
 
   /**
    * Time before the client's deadline that is reserved for the final response to reach it, and the
@@ -34,7 +33,6 @@
   private static final double MAX_LATE_RESPONSE_RESERVE_SHARE = 0.25;
 
   private static final Pattern TARGET = Pattern.compile("/[!-~]{0,2047}");
-  private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
   private static final String KEY_COOKIE = "key";
   private static final int HEXADECIMAL = 16;
 
@@ -77,8 +75,8 @@
         tenant,
         parseKey(HeaderValues.single(headers, "Cookie")),
         arrivedAt + withoutResponseReserve(timeoutMillis, lateness),
-        Double.isNaN(costEstimate) ? 0 : costEstimate / ESTIMATE_UNITS_PER_COST_UNIT,
-        "1".equals(HeaderValues.single(headers, ProtocolHeaders.CLIENT_RETRY)),
+        Double.isNaN(costEstimate) ? 0 : costEstimate / MICROS_PER_MILLI,
+        ProtocolHeaders.FLAG_SET.equals(HeaderValues.single(headers, ProtocolHeaders.CLIENT_RETRY)),
         !isGet(request));
   }
 
@@ -114,7 +112,7 @@
 
   private static void validateIdempotencyKey(HttpHeaders headers, RequestClass requestClass)
       throws BadRequestException {
-    boolean present = HeaderValues.token(headers, IDEMPOTENCY_KEY) != null;
+    boolean present = HeaderValues.token(headers, ProtocolHeaders.IDEMPOTENCY_KEY) != null;
     boolean required = requestClass.idempotency() == Idempotency.DEDUPLICATED;
     if (present != required) {
       throw new BadRequestException("the class wants Idempotency-Key otherwise");
--- a/src/main/java/loadbalancer/proxy/protocol/ProtocolHeaders.java
+++ b/src/main/java/loadbalancer/proxy/protocol/ProtocolHeaders.java
@@ -23,7 +23,7 @@
   /** The seconds that are left until the request's deadline. */
   public static final String REMAINING_TIME = "X-Remaining";
 
-  /** The expected work of the request in milliseconds of a standard core. */
+  /** The expected work of the request in microseconds of a standard core. */
   public static final String COST_ESTIMATE = "X-Estimate";
 
   /** {@code 1} on a response to a rejected request: it had no effect and is safe to retry. */
@@ -32,6 +32,12 @@
   /** The endpoint's load report on a response. */
   public static final String LOAD_REPORT = "X-Pressure";
 
+  /** The value of the fields that are flags, where the flag is set. */
+  public static final String FLAG_SET = "1";
+
+  /** Identifies requests whose repeats are to be dropped. */
+  public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
+
   /** Opaque labels that are forwarded as they are. */
   public static final String LABELS = "X-Labels";
 
--- a/src/main/java/loadbalancer/proxy/upstream/ForwardedRequest.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ForwardedRequest.java
@@ -10,13 +10,11 @@
 /** Builds the request that an endpoint receives from the request of a client. Stateless. */
 final class ForwardedRequest {
 
-  private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
-
   /** The end-to-end headers that are forwarded; all others concern the client's connection only. */
   private static final List<String> FORWARDED_HEADERS =
       List.of(
           ProtocolHeaders.REQUEST_ID,
-          IDEMPOTENCY_KEY,
+          ProtocolHeaders.IDEMPOTENCY_KEY,
           ProtocolHeaders.REQUEST_CLASS,
           ProtocolHeaders.TENANT,
           "Cookie",
@@ -58,6 +56,7 @@
 
   /** Whether the policy may retry the request after an attempt that may have run. */
   static boolean isRetryable(FullHttpRequest request) {
-    return !request.method().equals(HttpMethod.POST) || request.headers().contains(IDEMPOTENCY_KEY);
+    return !request.method().equals(HttpMethod.POST)
+        || request.headers().contains(ProtocolHeaders.IDEMPOTENCY_KEY);
   }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/IdleConnectionTrust.java
+++ b/src/main/java/loadbalancer/proxy/upstream/IdleConnectionTrust.java
@@ -9,7 +9,7 @@
  */
 final class IdleConnectionTrust {
 
-  /** Up to this idle time a connection is fresh: no reset is put down to its idleness. */
+  /** Up to this idle time a connection is fresh and always trusted. */
   static final double FRESH_IDLE_MILLIS = 50;
 
   /** A reset later than this after the write is due to the request, not to the idle time. */
@@ -30,13 +30,19 @@
   /** Above this share of resets, requests that must not be retried use fresh connections only. */
   private static final double CAUTION_RESET_SHARE = 0.01;
 
+  /** The limit shrinks to this share of the idle time after which a connection was reset. */
+  private static final double RESET_IDLE_SHARE = 0.5;
+
   private final double maxIdleMillis;
   private final double freshIdleMillis;
 
   /** Up to this idle time a connection may be reused. */
   private double trustedIdleMillis;
 
-  /** The decaying share, 0 to 1, of reuses that were reset. */
+  /**
+   * Decaying measure, 0 to 1, of resets on reuse. All resets raise it; only successes after more
+   * than the fresh idle time lower it.
+   */
   private double resetShare;
 
   /**
@@ -67,7 +73,8 @@
   void recordReset(double idleMillis) {
     resetShare += RESET_SHARE_GAIN * (1 - resetShare);
     if (resetShare > SHRINK_RESET_SHARE) {
-      trustedIdleMillis = Math.max(freshIdleMillis, Math.min(trustedIdleMillis, idleMillis / 2));
+      trustedIdleMillis =
+          Math.max(freshIdleMillis, Math.min(trustedIdleMillis, RESET_IDLE_SHARE * idleMillis));
     }
   }
 
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
@@ -37,7 +37,7 @@
   private final ConnectionPool pool;
   private final UpstreamConnector connector;
   private final FullHttpRequest request;
-  private final double deadline;
+  private final double deadlineMillis;
   private final UpstreamClient.Listener listener;
   private final Future<?> timeout;
 
@@ -51,7 +51,7 @@
   private UpstreamConnection connection;
 
   /** When the attempt got its connection; unused before. */
-  private double writeStartedAt;
+  private double writeStartedAtMillis;
 
   /** The idle time of a pooled connection when it was taken; empty for a new connection. */
   private OptionalDouble idleMillis = OptionalDouble.empty();
@@ -69,7 +69,7 @@
     this.pool = pool;
     this.connector = connector;
     this.request = request;
-    this.deadline = deadline;
+    this.deadlineMillis = deadline;
     this.listener = listener;
     timeout = loop.schedule(this::timedOut, clock.nanosUntil(deadline), TimeUnit.NANOSECONDS);
   }
@@ -131,11 +131,11 @@
     double now = clock.now();
     state = State.WRITING;
     connection = acquired;
-    writeStartedAt = now;
+    writeStartedAtMillis = now;
     idleMillis = acquired.idleMillis(now);
     // Guards against an endpoint that was replaced meanwhile: another one may have its address.
     boolean isCurrent = endpoint.isSameProcess(acquired.entry());
-    if (now >= deadline || !isCurrent || !endpoint.acceptsRequests(now)) {
+    if (now >= deadlineMillis || !isCurrent || !endpoint.acceptsRequests(now)) {
       pool.release(acquired, endpoint);
       finish(AttemptOutcome.CONNECT_FAILED, null);
       return;
@@ -143,7 +143,7 @@
     acquired.attach(this, endpoint);
     String host = endpoint.entry().address().getHostString();
     acquired.write(
-        ForwardedRequest.create(request, host, deadline - now),
+        ForwardedRequest.create(request, host, deadlineMillis - now),
         result -> writeCompleted(result.isSuccess()));
   }
 
@@ -164,7 +164,7 @@
   void connectionLost() {
     if (state != State.DONE
         && idleMillis.isPresent()
-        && clock.now() - writeStartedAt < IdleConnectionTrust.IMMEDIATE_RESET_MILLIS) {
+        && clock.now() - writeStartedAtMillis < IdleConnectionTrust.IMMEDIATE_RESET_MILLIS) {
       pool.trust().recordReset(idleMillis.getAsDouble());
     }
     abort(isWritten() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
@@ -183,7 +183,7 @@
    * Ends the attempt with {@link AttemptOutcome#NOT_SENT} if it still waits for its connection; has
    * no effect otherwise.
    */
-  public void abandonUnlessWritten() {
+  public void abandonIfConnecting() {
     if (state == State.CONNECTING) {
       abort(AttemptOutcome.NOT_SENT);
     }
@@ -225,8 +225,8 @@
     return switch (response.status().code()) {
       case 200 -> AttemptOutcome.OK;
       case 503, 504 ->
-          "1".equals(response.headers().get(ProtocolHeaders.REJECTED))
-              ? AttemptOutcome.FULL
+          ProtocolHeaders.FLAG_SET.equals(response.headers().get(ProtocolHeaders.REJECTED))
+              ? AttemptOutcome.REJECTED
               : AttemptOutcome.ERROR;
       default -> AttemptOutcome.ERROR;
     };
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
@@ -24,7 +24,7 @@
   private EndpointState state = EndpointState.READY;
 
   /** When the endpoint was notified that it is no longer ready; unused while it is. */
-  private double notifiedAt;
+  private double notifiedAtMillis;
 
   /**
    * Starts ready and without connections.
@@ -66,7 +66,7 @@
 
   private void leaveReady(EndpointState newState, double stateNotifiedAt) {
     if (isReady()) {
-      notifiedAt = stateNotifiedAt;
+      notifiedAtMillis = stateNotifiedAt;
       closeIdleConnections();
     }
     state = newState;
@@ -80,12 +80,14 @@
 
   /** Whether a request may still be written: the endpoint is ready or early in its drain grace. */
   boolean acceptsRequests(double now) {
-    return isReady() || now < notifiedAt + writeGraceMillis;
+    return isReady() || now < notifiedAtMillis + writeGraceMillis;
   }
 
   /** Whether the endpoint was removed before the given time and has no connection left. */
   boolean isForgettable(double removedBefore) {
-    return state == EndpointState.REMOVED && notifiedAt < removedBefore && !hasIdleConnection();
+    return state == EndpointState.REMOVED
+        && notifiedAtMillis < removedBefore
+        && !hasIdleConnection();
   }
 
   void closeIdleConnections() {
--- a/src/main/java/loadbalancer/settings/SettingsParser.java
+++ b/src/main/java/loadbalancer/settings/SettingsParser.java
@@ -36,7 +36,7 @@
   private static final Map<String, LoadReportMode> LOAD_REPORT_MODES =
       Map.of(
           "piggyback", LoadReportMode.PIGGYBACK,
-          "pull", LoadReportMode.PROBE,
+          "pull", LoadReportMode.HEALTH_CHECK,
           "silent", LoadReportMode.NONE);
 
   private static final Map<String, Idempotency> IDEMPOTENCIES =
@@ -329,7 +329,7 @@
   }
 
   private <T> List<T> items(String key, Function<String, T> parser) {
-    // A site without tenants leaves the whole list out.
+    // A configuration without tenants leaves the whole list out.
     int count = values.containsKey(key + ".count") ? integer(key + ".count") : 0;
     if (count < 0 || count > MAX_LIST_ITEMS) {
       throw invalid(key + ".count");
--- a/src/main/java/loadbalancer/simulation/EndpointLists.java
+++ b/src/main/java/loadbalancer/simulation/EndpointLists.java
@@ -21,7 +21,7 @@
   private static final int ENTRY_MACHINE_TYPE = 8;
   private static final int ENTRY_GROUP = 9;
   private static final int ENTRY_STATE = 11;
-  private static final int ENTRY_CAPACITY_HINT = 12;
+  private static final int ENTRY_WEIGHT = 12;
   private static final int ENTRY_START_TIME = 16;
 
   private static final EndpointState[] STATES = EndpointState.values();
@@ -77,7 +77,7 @@
     if (state >= STATES.length) {
       throw new MalformedInputException("list entry " + position + ": unknown state " + state);
     }
-    float capacityHint = body.rawFloat(at + ENTRY_CAPACITY_HINT);
+    float capacityHint = body.rawFloat(at + ENTRY_WEIGHT);
     if (!Float.isFinite(capacityHint)) {
       throw new MalformedInputException(
           "list entry " + position + ": capacity hint " + capacityHint);
--- a/src/main/java/loadbalancer/simulation/EventCode.java
+++ b/src/main/java/loadbalancer/simulation/EventCode.java
@@ -5,7 +5,7 @@
 /** The kinds of records in a frame, in the order of their codes, which begin at 0. */
 enum EventCode {
   /** Creates an instance. */
-  PROVISION_INSTANCE,
+  CREATE_INSTANCE,
   /** An update of the endpoint list, or a failed call for one. */
   ENDPOINTS_CHANGED,
   /** A client's request arrived. */
--- a/src/main/java/loadbalancer/simulation/EventDecoder.java
+++ b/src/main/java/loadbalancer/simulation/EventDecoder.java
@@ -79,7 +79,7 @@
       case TIMER_EXPIRED -> timerExpired(at, policy);
       case HEALTH_CHECK_COMPLETED -> healthCheckCompleted(at, policy);
       case PEER_MESSAGE_RECEIVED -> peerMessageReceived(at, policy);
-      case PROVISION_INSTANCE, REMOVE_INSTANCE, DEFINE_ENDPOINT_LIST ->
+      case CREATE_INSTANCE, REMOVE_INSTANCE, DEFINE_ENDPOINT_LIST ->
           throw new IllegalArgumentException(code + " is no event of the policy");
     };
   }
--- a/src/main/java/loadbalancer/simulation/FrameBody.java
+++ b/src/main/java/loadbalancer/simulation/FrameBody.java
@@ -10,6 +10,16 @@
  */
 final class FrameBody {
 
+  // The codes of the protocol for the outcome of an attempt.
+  private static final int OUTCOME_OK = 10;
+  private static final int OUTCOME_ERROR = 20;
+  private static final int OUTCOME_REJECTED = 30;
+  private static final int OUTCOME_TIMEOUT = 40;
+  private static final int OUTCOME_CONNECT_FAILED = 50;
+  private static final int OUTCOME_RESET = 60;
+  private static final int OUTCOME_CANCELLED = 70;
+  private static final int OUTCOME_NOT_SENT = 80;
+
   private static final int MAX_LOAD_REPORT_VALUES = 4;
 
   private final byte[] bytes;
@@ -58,14 +68,14 @@
   AttemptOutcome attemptOutcome(int at) {
     int code = unsignedByte(at);
     return switch (code) {
-      case 10 -> AttemptOutcome.OK;
-      case 20 -> AttemptOutcome.ERROR;
-      case 30 -> AttemptOutcome.FULL;
-      case 40 -> AttemptOutcome.TIMEOUT;
-      case 50 -> AttemptOutcome.CONNECT_FAILED;
-      case 60 -> AttemptOutcome.RESET;
-      case 70 -> AttemptOutcome.CANCELLED;
-      case 80 -> AttemptOutcome.NOT_SENT;
+      case OUTCOME_OK -> AttemptOutcome.OK;
+      case OUTCOME_ERROR -> AttemptOutcome.ERROR;
+      case OUTCOME_REJECTED -> AttemptOutcome.REJECTED;
+      case OUTCOME_TIMEOUT -> AttemptOutcome.TIMEOUT;
+      case OUTCOME_CONNECT_FAILED -> AttemptOutcome.CONNECT_FAILED;
+      case OUTCOME_RESET -> AttemptOutcome.RESET;
+      case OUTCOME_CANCELLED -> AttemptOutcome.CANCELLED;
+      case OUTCOME_NOT_SENT -> AttemptOutcome.NOT_SENT;
       default -> throw new MalformedInputException("unknown outcome " + code);
     };
   }
--- a/src/main/java/loadbalancer/simulation/SimulationHost.java
+++ b/src/main/java/loadbalancer/simulation/SimulationHost.java
@@ -21,7 +21,7 @@
   static final int HEADER_BYTES = 16;
   static final int RECORD_BYTES = 48;
 
-  /** Far above any frame seen, far below what an array can hold. */
+  /** A longer frame is taken for a broken stream; an array could not hold much more. */
   private static final long MAX_FRAME_BYTES = 1L << 29;
 
   private static final int HEADER_LENGTH = 0;
@@ -29,8 +29,8 @@
   private static final int HEADER_CLOCK = 8;
 
   private static final int INSTANCE = 1;
-  private static final int PROVISION_SEED = 5;
-  private static final int PROVISION_SETTINGS = 13;
+  private static final int CREATE_SEED = 5;
+  private static final int CREATE_SETTINGS = 13;
 
   private final Function<PolicyActions, LoadBalancingPolicy> policyFactory;
   private final ActionWriter reply = new ActionWriter();
@@ -115,7 +115,7 @@
       return;
     }
     int number = body.signedInt(at + INSTANCE);
-    if (code == EventCode.PROVISION_INSTANCE) {
+    if (code == EventCode.CREATE_INSTANCE) {
       provision(number, body, at);
       return;
     }
@@ -135,8 +135,8 @@
   }
 
   private void provision(int number, FrameBody body, int at) {
-    byte[] text = body.tailBytes(at + PROVISION_SETTINGS);
-    long seed = body.signedLong(at + PROVISION_SEED);
+    byte[] text = body.tailBytes(at + CREATE_SETTINGS);
+    long seed = body.signedLong(at + CREATE_SEED);
     PolicySettings settings = SettingsParser.parse(text);
     LoadBalancingPolicy policy = policyFactory.apply(reply);
     instances.put(number, new Instance(policy, settings));
--- a/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -260,7 +260,8 @@
 
   @Test
   void earlyErrorsAreNoSignOfOverload() {
-    for (AttemptOutcome result : new AttemptOutcome[] {AttemptOutcome.ERROR, AttemptOutcome.FULL}) {
+    for (AttemptOutcome result :
+        new AttemptOutcome[] {AttemptOutcome.ERROR, AttemptOutcome.REJECTED}) {
       PolicyHarness harness =
           new PolicyHarness(
               TestSettings.settings()
@@ -281,7 +282,8 @@
                   .map(PolicyHarness.SentAttempt::requestId)
                   .distinct()
                   .count();
-      assertEquals(result == AttemptOutcome.FULL, shed > 0, shed + " rejected without an attempt");
+      assertEquals(
+          result == AttemptOutcome.REJECTED, shed > 0, shed + " rejected without an attempt");
     }
   }
 
--- a/src/test/java/loadbalancer/policy/EndpointEligibilityTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointEligibilityTest.java
@@ -35,7 +35,7 @@
     harness.updateEndpoints(
         EndpointUpdateType.CACHED, TestSettings.endpoint(1), TestSettings.endpoint(2));
     harness.request(1, 0);
-    harness.finish(harness.lastAttempt(), AttemptOutcome.FULL);
+    harness.finish(harness.lastAttempt(), AttemptOutcome.REJECTED);
     assertEquals(2, harness.sentAttempts.size());
     assertFalse(
         harness.sentAttempts.get(0).endpointId() == harness.sentAttempts.get(1).endpointId());
--- a/src/test/java/loadbalancer/policy/LoadSheddingTest.java
+++ b/src/test/java/loadbalancer/policy/LoadSheddingTest.java
@@ -145,7 +145,7 @@
           if (queue.size() < QUEUE_LIMIT) {
             queue.add(new Work(instance, sent, exponential(random, MEAN_WORK_MILLIS)));
           } else {
-            instance.finish(sent, AttemptOutcome.FULL);
+            instance.finish(sent, AttemptOutcome.REJECTED);
           }
         }
       }
--- a/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -57,7 +57,7 @@
     private static final double SETTLE = 100;
     private static final AttemptOutcome[] UNSERVED = {
       AttemptOutcome.ERROR,
-      AttemptOutcome.FULL,
+      AttemptOutcome.REJECTED,
       AttemptOutcome.TIMEOUT,
       AttemptOutcome.CONNECT_FAILED,
       AttemptOutcome.RESET,
--- a/src/test/java/loadbalancer/policy/RetryAndHedgingTest.java
+++ b/src/test/java/loadbalancer/policy/RetryAndHedgingTest.java
@@ -139,7 +139,7 @@
     harness.request(1, 0);
     PolicyHarness.SentAttempt sent = harness.lastAttempt();
     harness.disconnectClient(1);
-    harness.finishBeforeClose(sent, AttemptOutcome.FULL);
+    harness.finishBeforeClose(sent, AttemptOutcome.REJECTED);
     assertEquals(1, harness.sentAttempts.size());
     assertTrue(harness.rejected.isEmpty() && harness.failed.isEmpty());
   }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamResponseTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamResponseTest.java
@@ -53,7 +53,7 @@
   }
 
   @ParameterizedTest
-  @CsvSource({"200 OK,,CONNECT_FAILED", "503 No,1,FULL", "500 No,,ERROR"})
+  @CsvSource({"200 OK,,CONNECT_FAILED", "503 No,1,REJECTED", "500 No,,ERROR"})
   void successBeforeTheRequestIsWrittenIsInvalid(
       String status, String rejected, AttemptOutcome expected) throws Exception {
     try (ProxyFixture proxy = new ProxyFixture()) {
