--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamClientTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamClientTest.java
@@ -75,7 +75,14 @@
   }
 
   @ParameterizedTest
-  @CsvSource({"500,,ERROR", "503,1,REJECTED", "504,1,REJECTED", "503,,ERROR", "404,,ERROR", "500,1,ERROR"})
+  @CsvSource({
+    "500,,ERROR",
+    "503,1,REJECTED",
+    "504,1,REJECTED",
+    "503,,ERROR",
+    "404,,ERROR",
+    "500,1,ERROR"
+  })
   void responseStatusDeterminesTheOutcome(int status, String rejected, AttemptOutcome expected)
       throws Exception {
     try (ProxyFixture proxy = new ProxyFixture().start()) {
