--- a/src/main/java/loadbalancer/benchmark/PolicyRun.java
+++ b/src/main/java/loadbalancer/benchmark/PolicyRun.java
@@ -15,13 +15,12 @@
 import loadbalancer.model.PolicySettings;
 import loadbalancer.policy.LatencyWeightedPolicy;
 import loadbalancer.policy.LoadBalancingPolicy;
-import loadbalancer.policy.PolicyActions;
 
 /**
  * The policy by itself in virtual time, with requests that all succeed and changes of one endpoint.
  * Counts its actions; processor time is measured around these methods.
  */
-final class PolicyRun implements PolicyActions {
+final class PolicyRun extends UnexpectedActions {
 
   private static final double MIN_LATENCY_MILLIS = 5;
   private static final double LATENCY_SPREAD_MILLIS = 10;
@@ -51,6 +50,7 @@
 
   /** Creates a run with so many requests a second. */
   PolicyRun(PolicySettings settings, List<Endpoint> list, double rate, long seed) {
+    super("where all requests succeed");
     this.settings = settings;
     this.endpoints = list;
     gapMillis = MILLIS_PER_SECOND / rate;
@@ -168,68 +168,23 @@
   }
 
   @Override
-  public void sendAttempt(long requestId, long upstream, double timeout) {
+  public void sendAttempt(long requestId, long endpointId, double timeoutMillis) {
     attemptsSent++;
     if (endpointsReached != null) {
-      endpointsReached.add(upstream);
+      endpointsReached.add(endpointId);
     }
     double latency = MIN_LATENCY_MILLIS + LATENCY_SPREAD_MILLIS * random.nextDouble();
-    inFlight.addLast(new Sent(requestId, upstream, now, now + latency));
+    inFlight.addLast(new Sent(requestId, endpointId, now, now + latency));
   }
 
   @Override
-  public void scheduleTimer(long token, double at) {
+  public void scheduleTimer(long token, double atMillis) {
     timersSet++;
     timers.addLast(token);
   }
 
-  @Override
-  public void reject(long requestId, double retryAfter) {
-    throw unexpected("a rejection");
-  }
-
-  @Override
-  public void failRequest(long requestId) {
-    throw unexpected("a failure");
-  }
-
-  @Override
-  public void cancelAttempt(long requestId, int attempt) {
-    throw unexpected("a cancelled attempt");
-  }
-
-  @Override
-  public void checkHealth(long upstream) {
-    throw unexpected("a health check");
-  }
-
-  @Override
-  public void closeIdleConnections(long upstream) {
-    throw unexpected("a close");
-  }
-
-  @Override
-  public void fetchEndpoints() {
-    throw unexpected("a fetch");
-  }
-
-  @Override
-  public void watchEndpoints(boolean on) {
-    throw unexpected("a watch");
-  }
-
-  @Override
-  public void sendToPeer(int peer, byte[] payload) {
-    throw unexpected("a message");
-  }
-
   @Override
   public void log(String text) {
     // Log lines decide nothing.
   }
-
-  /** No such action is due while all requests succeed; it would distort the measurement. */
-  private static BenchmarkException unexpected(String what) {
-    return new BenchmarkException("the policy asked for " + what + " where all requests succeed");
-  }
 }
--- a/src/main/java/loadbalancer/benchmark/SimulatedBalancer.java
+++ b/src/main/java/loadbalancer/benchmark/SimulatedBalancer.java
@@ -12,7 +12,6 @@
 import loadbalancer.model.PolicySettings;
 import loadbalancer.policy.LatencyWeightedPolicy;
 import loadbalancer.policy.LoadBalancingPolicy;
-import loadbalancer.policy.PolicyActions;
 import loadbalancer.proxy.config.ProxyConfig;
 import loadbalancer.proxy.discovery.DiscoveryClient;
 import loadbalancer.proxy.discovery.EndpointListParser;
@@ -23,23 +22,26 @@
 import loadbalancer.proxy.logging.ProxyLogger;
 
 /**
- * A balancer without callers, for scale runs: its module and its watch on discovery are those of a
- * {@code ProxyServer}, while thousands of them share a few loops. It has no socket but the one to
- * discovery. The program that serves does not have this class in its jar.
+ * A balancer without clients: policy and discovery client are those of a {@code ProxyServer}, while
+ * thousands of instances share a few event loops. Its only socket is the one to discovery. Confined
+ * to its event loop, except for {@link #start}, {@link #stop} and {@link #instanceIndex}.
  */
-public final class SimulatedBalancer implements PolicyActions {
+public final class SimulatedBalancer extends UnexpectedActions {
 
-  /** Who hears what a balancer has taken in, on that balancer's loop. */
+  private static final long FAILED_CALL = -1;
+
+  /** Receives what an instance has applied, on the event loop of that instance. */
   public interface Listener {
 
     /**
-     * The module has returned from this news; the version is that of its list, -1 for a failed
-     * call.
+     * The policy has applied an update.
+     *
+     * @param version the version of the endpoint list; -1 for a failed call
      */
-    void taken(SimulatedBalancer balancer, EndpointUpdateType change, long version);
+    void updateApplied(SimulatedBalancer balancer, EndpointUpdateType type, long version);
   }
 
-  /** A configuration read once, which many balancers differ from only in position and seed. */
+  /** A configuration that many instances share but for instance index and seed. */
   public static final class Template {
 
     private final ProxyConfig config;
@@ -49,8 +51,9 @@
     }
 
     /**
-     * Reads a configuration; throws {@link IllegalArgumentException} where {@code serve} refuses
-     * it.
+     * Reads a configuration.
+     *
+     * @throws IllegalArgumentException if {@code serve} would reject it
      */
     public static Template parse(String json) {
       try {
@@ -62,27 +65,27 @@
       }
     }
 
-    /** What the module of this configuration is told. */
+    /** The settings of the policy. */
     public PolicySettings settings() {
       return config.settings();
     }
 
-    /** Reads a list as a balancer does: the bytes into a tree, the tree into entries. */
+    /** Reads an endpoint list as a balancer does. */
     public List<Endpoint> list(byte[] body) throws IOException {
       return new EndpointListParser(config.zones(), config.machineTypes())
           .parse(JsonReader.read(new ByteArrayInputStream(body)))
           .endpoints();
     }
 
-    private ProxyConfig at(int position, long seed) {
-      PolicySettings own = config.settings().withInstanceIndex(position);
+    private ProxyConfig forInstance(int instanceIndex, long seed) {
+      PolicySettings settings = config.settings().withInstanceIndex(instanceIndex);
       return new ProxyConfig(
           config.name(),
           config.listen(),
           config.discovery(),
           seed,
           config.maxDescriptors(),
-          own,
+          settings,
           config.zones(),
           config.machineTypes(),
           config.requestClasses(),
@@ -91,33 +94,34 @@
     }
   }
 
-  private final int position;
+  private final int instanceIndex;
   private final ProxyConfig config;
   private final EventLoop loop;
   private final Listener listener;
   private final Clock clock = new Clock();
-  private final LoadBalancingPolicy balancer = new LatencyWeightedPolicy(this);
+  private final LoadBalancingPolicy policy = new LatencyWeightedPolicy(this);
   private final DiscoveryClient discovery;
   private final RunToCompletionQueue<Runnable> events = new RunToCompletionQueue<>(Runnable::run);
   private boolean stopped;
 
   private SimulatedBalancer(
       Template template,
-      int position,
+      int instanceIndex,
       long seed,
       EventLoop loop,
       ByteBufAllocator memory,
       Listener listener) {
-    this.position = position;
+    super("without a client");
+    this.instanceIndex = instanceIndex;
     this.loop = loop;
     this.listener = listener;
-    config = template.at(position, seed);
+    config = template.forInstance(instanceIndex, seed);
     discovery =
         new DiscoveryClient(
             loop,
             config.discoverySettings(),
             memory,
-            this::told,
+            this::onUpdate,
             () -> {},
             DiscoveryClient.MAX_WATCH_MILLIS);
   }
@@ -125,23 +129,23 @@
   /** Starts one on a loop; its watch begins as that of {@code ProxyServer} does. */
   public static SimulatedBalancer start(
       Template template,
-      int position,
+      int instanceIndex,
       long seed,
       EventLoop loop,
       ByteBufAllocator memory,
       Listener listener) {
-    SimulatedBalancer hollow =
-        new SimulatedBalancer(template, position, seed, loop, memory, listener);
-    loop.execute(hollow::begin);
-    return hollow;
+    SimulatedBalancer balancer =
+        new SimulatedBalancer(template, instanceIndex, seed, loop, memory, listener);
+    loop.execute(balancer::begin);
+    return balancer;
   }
 
-  /** Its number among its siblings. */
-  public int position() {
-    return position;
+  /** Its number among the instances of its tier. */
+  public int instanceIndex() {
+    return instanceIndex;
   }
 
-  /** Dies: closes its connection and hears nothing more. Returns at once. */
+  /** Ends the watch and ignores all further events. Returns at once. */
   public void stop() {
     loop.execute(
         () -> {
@@ -151,23 +155,23 @@
   }
 
   private void begin() {
-    event(() -> balancer.start(clock.now(), config.settings(), config.seed()));
-    event(
+    enqueue(() -> policy.start(clock.now(), config.settings(), config.seed()));
+    enqueue(
         () ->
-            balancer.endpointsChanged(
+            policy.endpointsChanged(
                 clock.now(), EndpointUpdateType.CACHED, config.knownEndpoints().endpoints()));
     if (!config.settings().explicitWatch()) {
       watchEndpoints(true);
     }
   }
 
-  private void told(EndpointUpdateType change, EndpointListUpdate roster) {
-    List<Endpoint> entries = roster == null ? List.of() : roster.endpoints();
-    event(() -> balancer.endpointsChanged(clock.now(), change, entries));
-    listener.taken(this, change, roster == null ? -1 : roster.version());
+  private void onUpdate(EndpointUpdateType type, EndpointListUpdate update) {
+    List<Endpoint> endpoints = update == null ? List.of() : update.endpoints();
+    enqueue(() -> policy.endpointsChanged(clock.now(), type, endpoints));
+    listener.updateApplied(this, type, update == null ? FAILED_CALL : update.version());
   }
 
-  private void event(Runnable event) {
+  private void enqueue(Runnable event) {
     if (!stopped) {
       events.add(event);
     }
@@ -179,60 +183,20 @@
   }
 
   @Override
-  public void watchEndpoints(boolean on) {
-    discovery.watch(on);
+  public void watchEndpoints(boolean enabled) {
+    discovery.watch(enabled);
   }
 
   @Override
-  public void scheduleTimer(long token, double at) {
+  public void scheduleTimer(long token, double atMillis) {
     loop.schedule(
-        () -> event(() -> balancer.timerExpired(clock.now(), token)),
-        clock.nanosUntil(at),
+        () -> enqueue(() -> policy.timerExpired(clock.now(), token)),
+        clock.nanosUntil(atMillis),
         TimeUnit.NANOSECONDS);
   }
 
-  @Override
-  public void sendAttempt(long requestId, long upstream, double timeout) {
-    throw noCallers();
-  }
-
-  @Override
-  public void reject(long requestId, double retryAfter) {
-    throw noCallers();
-  }
-
-  @Override
-  public void failRequest(long requestId) {
-    throw noCallers();
-  }
-
-  @Override
-  public void cancelAttempt(long requestId, int attempt) {
-    throw noCallers();
-  }
-
-  @Override
-  public void checkHealth(long upstream) {
-    throw noCallers();
-  }
-
-  /** It has no connections to upstreams, idle or not. */
-  @Override
-  public void closeIdleConnections(long upstream) {
-    throw noCallers();
-  }
-
-  @Override
-  public void sendToPeer(int peer, byte[] payload) {
-    throw noCallers();
-  }
-
   @Override
   public void log(String text) {
     ProxyLogger.LOGGER.info(text);
   }
-
-  private static IllegalStateException noCallers() {
-    return new IllegalStateException("a balancer without callers has nobody to act for");
-  }
 }
--- a/src/main/java/loadbalancer/benchmark/SimulatedFleet.java
+++ b/src/main/java/loadbalancer/benchmark/SimulatedFleet.java
@@ -90,7 +90,7 @@
   private void onUpdateApplied(
       SimulatedBalancer balancer, EndpointUpdateType change, long version) {
     long now = System.nanoTime();
-    int position = balancer.position();
+    int position = balancer.instanceIndex();
     if (change == EndpointUpdateType.FAILED) {
       failedCalls.incrementAndGet();
       return;
