--- a/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -7,118 +7,135 @@
 import loadbalancer.model.LimitSettings;
 
 /**
- * Load shedding: whether an arriving request is rejected before any work is spent on it.
+ * Load shedding: decides whether an arriving request is rejected before any work is spent on it.
  *
- * <p>Only the tier that clients reach sheds load: further down, a rejection would waste the work
- * already done above.
+ * <p>Only balancers of the tier that clients reach directly shed load. A rejection in a later tier
+ * would waste the work that the earlier tiers have already done for the request.
  */
 final class AdmissionController {
 
-  /** The tier that clients reach. */
-  static final int CLIENT_TIER = 0;
+  /** Index of the tier that clients reach directly. */
+  static final int CLIENT_FACING_TIER = 0;
 
-  /** Longest advised wait as a share of the latency objective: the client should still be there. */
+  /**
+   * Upper bound of the Retry-After advice as a share of the latency objective, so that the client
+   * is still waiting for a response when it retries.
+   */
   private static final double MAX_RETRY_AFTER_OBJECTIVE_SHARE = 0.5;
 
   private final int tier;
   private final LimitSettings limits;
-  private final RequestClassStatistics[] classes;
-  private final SheddingPlan plan;
+  private final RequestClassStatistics[] requestClasses;
+  private final SheddingPlan sheddingPlan;
   private final SplittableRandom random;
 
   AdmissionController(
       int tier,
       LimitSettings limits,
-      RequestClassStatistics[] classes,
-      SheddingPlan plan,
+      RequestClassStatistics[] requestClasses,
+      SheddingPlan sheddingPlan,
       SplittableRandom random) {
     this.tier = tier;
     this.limits = limits;
-    this.classes = classes;
-    this.plan = plan;
+    this.requestClasses = requestClasses;
+    this.sheddingPlan = sheddingPlan;
     this.random = random;
   }
 
-  /** Counts an arriving request and decides whether it is rejected at once. */
-  boolean rejects(InFlightRequest request) {
-    RequestClassStatistics type = request.statistics();
-    for (RequestClassStatistics each : classes) {
-      each.updateTrafficShare(each == type);
+  /** Counts an arriving request and decides whether to reject it immediately. */
+  boolean shouldReject(InFlightRequest request) {
+    RequestClassStatistics arrivingClass = request.statistics();
+    for (RequestClassStatistics requestClass : requestClasses) {
+      requestClass.updateTrafficShare(requestClass == arrivingClass);
     }
-    if (type.placementGroup().overload().level() == 0) {
+    if (arrivingClass.placementGroup().overload().level() == 0) {
       return false;
     }
-    plan.update(type.placementGroup());
+    sheddingPlan.update(arrivingClass.placementGroup());
     return random.nextDouble() < rejectionProbability(request);
   }
 
   /**
-   * The probability that makes up the rejected share over all requests of the class. Marked retries
-   * go first: their client has already waited, and a first try that is served brings no retry.
+   * The probability of rejecting this request. Averaged over all requests of the class, it equals
+   * the rejected share of the class. Requests that their clients marked as retries are rejected
+   * first: their clients have already waited, and a first try that is served causes no retry.
    */
   private static double rejectionProbability(InFlightRequest request) {
-    RequestClassStatistics type = request.statistics();
-    double retryShare = type.clientRetryShare();
-    double retryProbability =
-        Math.min(1, type.rejectedShare() / Math.max(RequestClassValue.MIN_SHARE, retryShare));
+    RequestClassStatistics requestClass = request.statistics();
+    double clientRetryShare = requestClass.clientRetryShare();
+    double clientRetryProbability =
+        Math.min(
+            1,
+            requestClass.rejectedShare() / Math.max(RequestClassValue.MIN_SHARE, clientRetryShare));
     if (request.clientRequest().retry()) {
-      return retryProbability;
+      return clientRetryProbability;
     }
-    return (type.rejectedShare() - retryShare * retryProbability)
-        / Math.max(RequestClassValue.MIN_SHARE, 1 - retryShare);
+    return (requestClass.rejectedShare() - clientRetryShare * clientRetryProbability)
+        / Math.max(RequestClassValue.MIN_SHARE, 1 - clientRetryShare);
   }
 
   /**
-   * When the client of a rejected request should come back: the later, the higher the overload
-   * level.
+   * The Retry-After advice for the client of a rejected request, in milliseconds; 0 for no advice.
+   * It grows with the overload level.
    */
   double retryAfterMillis(InFlightRequest request) {
     if (!limits.retryAfterAdvice()) {
       return 0;
     }
-    double longest =
+    double maxRetryAfterMillis =
         Math.min(
             limits.maxRetryAfterMillis(),
             MAX_RETRY_AFTER_OBJECTIVE_SHARE * request.requestClass().latencyObjectiveMillis());
-    double level = request.statistics().placementGroup().overload().level();
-    return Math.min(longest, PendingRequests.RETRY_INTERVAL_MILLIS + longest * level);
+    double overloadLevel = request.statistics().placementGroup().overload().level();
+    return Math.min(
+        maxRetryAfterMillis,
+        PendingRequests.SELECTION_INTERVAL_MILLIS + maxRetryAfterMillis * overloadLevel);
   }
 
-  /** Whether attempts are watched for signs of overload. */
-  boolean isActive() {
-    return tier == CLIENT_TIER;
+  /**
+   * Whether attempts are monitored for signs of overload. Elsewhere the overload level stays at 0,
+   * so that nothing is rejected.
+   */
+  boolean monitorsAttempts() {
+    return tier == CLIENT_FACING_TIER;
   }
 
-  /** An attempt is still running after {@link OverloadDetector#lateAfterMillis}. */
-  void attemptLate(Attempt attempt, List<EndpointStatistics> ready, double now) {
+  /** Records that an attempt is still running after {@link OverloadDetector#lateAfterMillis}. */
+  void attemptLate(Attempt attempt, List<EndpointStatistics> readyEndpoints, double now) {
     OverloadDetector overload = overloadOf(attempt);
     attempt.reportLate();
     overload.recordOutcome(attempt, false, now);
-    overload.recordLate(attempt, ready, now);
+    overload.recordLate(attempt, readyEndpoints, now);
   }
 
-  /** An attempt has ended. One that was cancelled, or reported late before, tells nothing new. */
+  /**
+   * Records the end of an attempt. A cancelled attempt is no evidence, and one that {@link
+   * #attemptLate} has recorded does not change the overload level a second time.
+   */
   void attemptFinished(
-      Attempt attempt, AttemptResult result, List<EndpointStatistics> ready, double now) {
-    if (!isActive() || result.outcome() == AttemptOutcome.CANCELLED) {
+      Attempt attempt, AttemptResult result, List<EndpointStatistics> readyEndpoints, double now) {
+    if (!monitorsAttempts() || result.outcome() == AttemptOutcome.CANCELLED) {
       return;
     }
     OverloadDetector overload = overloadOf(attempt);
     boolean served = result.outcome() == AttemptOutcome.OK;
     overload.recordOutcome(attempt, served, now);
-    boolean inTime = result.elapsedMillis() < OverloadDetector.lateAfterMillis(attempt.request());
-    if (attempt.isReportedLate() || (inTime && isFault(result.outcome()))) {
+    boolean timely = result.elapsedMillis() < OverloadDetector.lateAfterMillis(attempt.request());
+    if (attempt.isReportedLate() || (timely && isEndpointFault(result.outcome()))) {
       return;
     }
-    if (served && inTime) {
+    if (served && timely) {
       overload.recordTimely(attempt, now);
     } else {
-      overload.recordLate(attempt, ready, now);
+      overload.recordLate(attempt, readyEndpoints, now);
     }
   }
 
-  /** An early failure of this kind comes from a faulty endpoint: shedding load would not help. */
-  private static boolean isFault(AttemptOutcome outcome) {
+  /**
+   * Whether a failure that was not late points to a faulty endpoint and not to overload: shedding
+   * load would not prevent it.
+   */
+  private static boolean isEndpointFault(AttemptOutcome outcome) {
     return outcome == AttemptOutcome.ERROR
         || outcome == AttemptOutcome.RESET
         || outcome == AttemptOutcome.CONNECT_FAILED;
--- a/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
+++ b/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
@@ -93,7 +93,7 @@
     requests.put(request.id(), request);
     retryBudget.requestArrived();
     type.recordArrival(clientRequest.costMillis(), clientRequest.retry());
-    if (admission.rejects(request)) {
+    if (admission.shouldReject(request)) {
       finishUnserved(request, now);
       return;
     }
@@ -147,7 +147,7 @@
     }
     request.addAttempt(attempt);
     endpoint.attemptSent(attempt);
-    if (admission.isActive()) {
+    if (admission.monitorsAttempts()) {
       actions.scheduleTimer(
           TimerToken.lateAttempt(request.id(), attempt.number()),
           now + OverloadDetector.lateAfterMillis(request));
--- a/src/main/java/loadbalancer/policy/OverloadDetector.java
+++ b/src/main/java/loadbalancer/policy/OverloadDetector.java
@@ -4,115 +4,133 @@
 import loadbalancer.model.RequestClass;
 
 /**
- * Estimates which share of the arriving work has to be rejected so that the rest is served in time.
+ * Estimates the share of the arriving work that has to be rejected so that the rest is served in
+ * time.
  *
- * <p>Input: attempts that were late, or were served in time, at the endpoints of one placement
- * group. The level rises with the time that late attempts stand for and falls with that of timely
- * ones, so that it moves as fast where traffic is thin.
+ * <p>Its input is whether attempts at the endpoints of one placement group were late or were served
+ * in time. A late attempt raises the overload level and a timely one lowers it, each in proportion
+ * to the time since the previous change, so that the level moves as fast at a low request rate as
+ * at a high one.
  */
 final class OverloadDetector {
 
-  /** An attempt is late after (this share + late response value) x objective. */
+  /** An attempt is late after (this share + late response value) x latency objective. */
   private static final double LATE_OBJECTIVE_SHARE = 0.5;
 
-  /** Change of the level in a second of late attempts, and in one of timely ones. */
+  /** Rise of the level for each second that late attempts account for. */
   private static final double LEVEL_RISE_PER_SECOND = 0.9;
 
+  /** Fall of the level for each second that timely attempts account for. */
   private static final double LEVEL_FALL_PER_SECOND = 0.22;
+
   private static final double MAX_LEVEL = 0.95;
 
-  /** How far one late attempt may lift the level above the rejected share at its send. */
-  private static final double MAX_RISE_ABOVE_SEND = 0.3;
+  /** A late attempt raises the level to at most this much above the rejected share at its send. */
+  private static final double MAX_RISE_ABOVE_SHARE_AT_SEND = 0.3;
 
-  /** Longest time that one late attempt stands for, and decay of {@link #servedWhileAdmitting}. */
+  /** Longest time that one late attempt accounts for. */
   private static final double MAX_LATE_INTERVAL_MILLIS = 250;
 
-  /** Attempts sent at a lower rejected share tell how requests fare when admitted. */
-  private static final double MOSTLY_ADMITTED_SHARE = 0.5;
+  /** Time constant of the exponential decay of {@link #servedShareWhileAdmitting}. */
+  private static final double SERVED_SHARE_DECAY_MILLIS = MAX_LATE_INTERVAL_MILLIS;
+
+  /** Attempts sent at a lower rejected share count in {@link #servedShareWhileAdmitting}. */
+  private static final double MOSTLY_ADMITTING_REJECTED_SHARE = 0.5;
 
-  /** Rejected share that late attempts alone justify. */
-  private static final double UNCONFIRMED_REJECTED_SHARE = 0.25;
+  /** Rejected share that is allowed even while most of the admitted attempts are served. */
+  private static final double MAX_REJECTED_SHARE_WHILE_SERVED = 0.25;
 
   private static final double MILLIS_PER_SECOND = 1_000;
 
+  /** Any class of the placement group: all of them allow the same endpoints. */
   private final RequestClass placement;
+
   private double level;
   private double levelUpdatedAtMillis;
-  private double servedWhileAdmitting = 1;
-  private double servedWhileAdmittingAtMillis;
+
+  /** Share of the attempts that were served, of those sent while most work was admitted. */
+  private double servedShareWhileAdmitting = 1;
+
+  private double servedShareUpdatedAtMillis;
 
   OverloadDetector(RequestClass placement) {
     this.placement = placement;
   }
 
-  /** Time after which an attempt is a sign of overload. */
+  /** Time after its send at which an attempt of this request counts as a sign of overload. */
   static double lateAfterMillis(InFlightRequest request) {
-    RequestClass type = request.requestClass();
-    return (LATE_OBJECTIVE_SHARE + type.lateResponseValue())
-        * type.latencyObjectiveMillis()
+    RequestClass requestClass = request.requestClass();
+    return (LATE_OBJECTIVE_SHARE + requestClass.lateResponseValue())
+        * requestClass.latencyObjectiveMillis()
         * Math.max(1, request.relativeCost());
   }
 
-  /** The overload level, 0 to 0.95: 0 if nothing is late. */
+  /** The overload level, from 0 (no overload) to 0.95. */
   double level() {
     return level;
   }
 
   /**
-   * The share of the arriving work to reject, 0 to 1: the level, as far as rejecting can save more
-   * requests than it costs. Attempts that are late for another cause than load are mostly served;
-   * rejecting would only lose them.
+   * The share of the arriving work to reject, 0 to 1. This is the overload level, limited to what
+   * the served share of the admitted attempts justifies: attempts that are late for another reason
+   * than load are mostly served in the end, and rejecting their requests would only lose them.
    */
   double rejectedShare() {
-    // Late requests in excess of the served ones: rejecting one loses what might be served.
-    double lateBeyondServed = 1 - 2 * servedWhileAdmitting;
-    return Math.min(level, Math.max(UNCONFIRMED_REJECTED_SHARE, lateBeyondServed));
+    // The unserved share less the served share: each rejected request may be one that is served.
+    double unservedLessServed = 1 - 2 * servedShareWhileAdmitting;
+    return Math.min(level, Math.max(MAX_REJECTED_SHARE_WHILE_SERVED, unservedLessServed));
   }
 
-  /** Records how an attempt fared that was sent while most work was admitted. */
+  /** Records the outcome of an attempt if it was sent while most work was admitted. */
   void recordOutcome(Attempt attempt, boolean served, double now) {
-    if (attempt.rejectedShareAtSend() < MOSTLY_ADMITTED_SHARE) {
-      double decay = Math.exp((servedWhileAdmittingAtMillis - now) / MAX_LATE_INTERVAL_MILLIS);
-      servedWhileAdmitting = decay * servedWhileAdmitting + (served ? 1 - decay : 0);
-      servedWhileAdmittingAtMillis = now;
+    if (attempt.rejectedShareAtSend() < MOSTLY_ADMITTING_REJECTED_SHARE) {
+      double decay = Math.exp((servedShareUpdatedAtMillis - now) / SERVED_SHARE_DECAY_MILLIS);
+      servedShareWhileAdmitting = decay * servedShareWhileAdmitting + (served ? 1 - decay : 0);
+      servedShareUpdatedAtMillis = now;
     }
   }
 
   /** Lowers the level for an attempt that was served in time. */
   void recordTimely(Attempt attempt, double now) {
     attempt.endpoint().recordLateness(false, now);
-    double seconds = (now - levelUpdatedAtMillis) / MILLIS_PER_SECOND;
+    double secondsSinceUpdate = (now - levelUpdatedAtMillis) / MILLIS_PER_SECOND;
     levelUpdatedAtMillis = now;
-    level = Math.max(0, level - LEVEL_FALL_PER_SECOND * seconds);
+    level = Math.max(0, level - LEVEL_FALL_PER_SECOND * secondsSinceUpdate);
   }
 
   /**
-   * Raises the level for a late attempt, unless most endpoints serve in time: one that hangs is no
-   * reason to reject what others serve. The attempt was sent some time ago and says little of what
-   * has been rejected since, so it lifts the level only so far above the share at its send.
+   * Raises the level for a late attempt, unless most endpoints serve in time: a single endpoint
+   * that hangs is no reason to reject requests that others can serve.
+   *
+   * <p>The attempt does not show the effect of what has been rejected since its send. Therefore it
+   * raises the level only to a limited amount above the rejected share at its send.
    */
-  void recordLate(Attempt attempt, List<EndpointStatistics> ready, double now) {
+  void recordLate(Attempt attempt, List<EndpointStatistics> readyEndpoints, double now) {
     attempt.endpoint().recordLateness(true, now);
-    if (!mostEndpointsAreLate(ready, now)) {
+    if (!mostEndpointsAreLate(readyEndpoints, now)) {
       return;
     }
-    double seconds =
+    double secondsSinceUpdate =
         Math.min(MAX_LATE_INTERVAL_MILLIS, now - levelUpdatedAtMillis) / MILLIS_PER_SECOND;
     levelUpdatedAtMillis = now;
-    double limit = Math.min(MAX_LEVEL, attempt.rejectedShareAtSend() + MAX_RISE_ABOVE_SEND);
-    level = Math.max(level, Math.min(limit, level + LEVEL_RISE_PER_SECOND * seconds));
+    double maxLevel =
+        Math.min(MAX_LEVEL, attempt.rejectedShareAtSend() + MAX_RISE_ABOVE_SHARE_AT_SEND);
+    level = Math.max(level, Math.min(maxLevel, level + LEVEL_RISE_PER_SECOND * secondsSinceUpdate));
   }
 
-  /** Whether the endpoints that have most of the recent attempts were late at last. */
-  private boolean mostEndpointsAreLate(List<EndpointStatistics> ready, double now) {
-    double balance = 0;
-    for (EndpointStatistics endpoint : ready) {
+  /**
+   * Whether the endpoints whose latest evidence is a late attempt have more than half of the recent
+   * attempts. Endpoints without recent evidence do not count.
+   */
+  private boolean mostEndpointsAreLate(List<EndpointStatistics> readyEndpoints, double now) {
+    double lateLessTimelyAttempts = 0;
+    for (EndpointStatistics endpoint : readyEndpoints) {
       if (placement.allows(endpoint.listedEndpoint())
           && now - endpoint.latenessKnownAtMillis() < EndpointStatistics.EVIDENCE_DECAY_MILLIS) {
-        double attempts = endpoint.attempts() + endpoint.inFlightCount();
-        balance += endpoint.wasLate() ? attempts : -attempts;
+        double recentAttempts = endpoint.attempts() + endpoint.inFlightCount();
+        lateLessTimelyAttempts += endpoint.wasLate() ? recentAttempts : -recentAttempts;
       }
     }
-    return balance > 0;
+    return lateLessTimelyAttempts > 0;
   }
 }
--- a/src/main/java/loadbalancer/policy/PendingRequests.java
+++ b/src/main/java/loadbalancer/policy/PendingRequests.java
@@ -7,7 +7,7 @@
 final class PendingRequests {
 
   /** Time after which a queued request looks for an endpoint again. */
-  static final double RETRY_INTERVAL_MILLIS = 20;
+  static final double SELECTION_INTERVAL_MILLIS = 20;
 
   /** Share of the expected latency that must be left for an attempt to make sense. */
   private static final double MIN_REMAINING_LATENCY_SHARE = 0.25;
@@ -48,7 +48,7 @@
   /** Queues a request; one that waits for its key is woken at the end of its time only. */
   void queue(InFlightRequest request, boolean keyIsFree, double now) {
     double until = request.queuedUntilMillis();
-    double wakeUpAt = keyIsFree ? Math.min(until, now + RETRY_INTERVAL_MILLIS) : until;
+    double wakeUpAt = keyIsFree ? Math.min(until, now + SELECTION_INTERVAL_MILLIS) : until;
     actions.scheduleTimer(TimerToken.queue(request.id()), wakeUpAt);
   }
 
@@ -69,6 +69,6 @@
 
   /** A selection for a queued request found no endpoint: its class waits for the next one. */
   static void selectionFailed(InFlightRequest request, double now) {
-    request.statistics().setNextSelectionAtMillis(now + RETRY_INTERVAL_MILLIS);
+    request.statistics().setNextSelectionAtMillis(now + SELECTION_INTERVAL_MILLIS);
   }
 }
--- a/src/main/java/loadbalancer/policy/QueueingLimit.java
+++ b/src/main/java/loadbalancer/policy/QueueingLimit.java
@@ -24,7 +24,7 @@
 
   /** The longest delay for a request: part of its remaining time, by its value per work. */
   double maxDelayMillis(InFlightRequest request, double now) {
-    if (tier > AdmissionController.CLIENT_TIER) {
+    if (tier > AdmissionController.CLIENT_FACING_TIER) {
       return Double.MAX_VALUE;
     }
     double highest = 0;
--- a/src/main/java/loadbalancer/policy/SheddingPlan.java
+++ b/src/main/java/loadbalancer/policy/SheddingPlan.java
@@ -4,61 +4,66 @@
 import java.util.Comparator;
 
 /**
- * Divides the work to reject among the classes of a placement group at the least loss of value.
+ * Distributes the work to reject over the request classes of a placement group at the least loss of
+ * value.
  *
- * <p>The classes with the least value per work are rejected first. As part of the result depends on
- * the worst served class alone, several limits to the rejected share of one class are tried, and
- * the plan with the least loss is kept.
+ * <p>Classes with less value per unit of work are rejected first. Because part of the service's
+ * score depends only on its worst served class, several upper bounds of the rejected share of a
+ * class are tried, and the plan with the smallest loss is used.
  */
 final class SheddingPlan {
 
-  /** Limits tried: 1/10, 2/10 ... 1. */
-  private static final int LIMIT_STEPS = 10;
+  /** Number of upper bounds that are tried: 1/10, 2/10 ... 1. */
+  private static final int MAX_SHARE_STEPS = 10;
 
-  /** A plan may leave one part in so many of the group's work over, for rounding. */
-  private static final double UNPLANNED_WORK_DIVISOR = 1_000;
+  /** A plan may leave 1/1000 of the group's work unassigned, to allow for rounding errors. */
+  private static final double ROUNDING_TOLERANCE_DIVISOR = 1_000;
 
-  private final RequestClassValue value;
+  private final RequestClassValue classValue;
   private final double worstClassWeight;
 
   /**
-   * @param worstClassWeight share of the result, 0 to 1, that depends on the worst served class
+   * @param worstClassWeight share of the score, 0 to 1, that depends on the worst served class
    */
-  SheddingPlan(RequestClassValue value, double worstClassWeight) {
-    this.value = value;
+  SheddingPlan(RequestClassValue classValue, double worstClassWeight) {
+    this.classValue = classValue;
     this.worstClassWeight = worstClassWeight;
   }
 
   /** Sets the rejected share of each class of the group. */
   void update(PlacementGroup group) {
-    RequestClassStatistics[] cheapestFirst =
+    RequestClassStatistics[] leastValuableFirst =
         Arrays.stream(group.classes())
-            .sorted(Comparator.comparingDouble(value::valuePerWork))
+            .sorted(Comparator.comparingDouble(classValue::valuePerWork))
             .toArray(RequestClassStatistics[]::new);
-    double totalWork = Arrays.stream(cheapestFirst).mapToDouble(value::work).sum();
-    double totalValue = Arrays.stream(cheapestFirst).mapToDouble(value::value).sum();
-    double[] shares = new double[cheapestFirst.length];
+    double totalWork = Arrays.stream(leastValuableFirst).mapToDouble(classValue::work).sum();
+    double totalValue = Arrays.stream(leastValuableFirst).mapToDouble(classValue::value).sum();
+    double[] rejectedShares = new double[leastValuableFirst.length];
     double leastLoss = Double.MAX_VALUE;
-    for (int step = 1; step <= LIMIT_STEPS; step++) {
-      double limit = (double) step / LIMIT_STEPS;
-      double remainingWork = group.overload().rejectedShare() * totalWork;
-      double loss = worstClassWeight * limit;
-      for (int i = 0; i < shares.length; i++) {
-        double work = value.work(cheapestFirst[i]);
-        shares[i] = Math.min(limit, remainingWork / work);
-        remainingWork -= shares[i] * work;
-        loss += (1 - worstClassWeight) * shares[i] * value.value(cheapestFirst[i]) / totalValue;
+    for (int step = 1; step <= MAX_SHARE_STEPS; step++) {
+      double maxShare = (double) step / MAX_SHARE_STEPS;
+      double unassignedWork = group.overload().rejectedShare() * totalWork;
+      double loss = worstClassWeight * maxShare;
+      for (int i = 0; i < rejectedShares.length; i++) {
+        double classWork = classValue.work(leastValuableFirst[i]);
+        rejectedShares[i] = Math.min(maxShare, unassignedWork / classWork);
+        unassignedWork -= rejectedShares[i] * classWork;
+        loss +=
+            (1 - worstClassWeight)
+                * rejectedShares[i]
+                * classValue.value(leastValuableFirst[i])
+                / totalValue;
       }
-      if (remainingWork < totalWork / UNPLANNED_WORK_DIVISOR && loss < leastLoss) {
+      if (unassignedWork < totalWork / ROUNDING_TOLERANCE_DIVISOR && loss < leastLoss) {
         leastLoss = loss;
-        apply(shares, cheapestFirst);
+        setRejectedShares(rejectedShares, leastValuableFirst);
       }
     }
   }
 
-  private static void apply(double[] shares, RequestClassStatistics[] classes) {
-    for (int i = 0; i < shares.length; i++) {
-      classes[i].setRejectedShare(shares[i]);
+  private static void setRejectedShares(double[] rejectedShares, RequestClassStatistics[] classes) {
+    for (int i = 0; i < rejectedShares.length; i++) {
+      classes[i].setRejectedShare(rejectedShares[i]);
     }
   }
 }
