--- a/src/main/java/loadbalancer/policy/DiscoveryRefresh.java
+++ b/src/main/java/loadbalancer/policy/DiscoveryRefresh.java
@@ -64,12 +64,12 @@
   }
 
   /** Begins the watch anew, after a failed call. */
-  void retry() {
+  void restartWatch() {
     actions.watchEndpoints(true);
   }
 
   /** An update, or the failure of a call, has come from discovery. */
-  void contacted(boolean withEndpoints, double now) {
+  void recordContact(boolean withEndpoints, double now) {
     lastContactAtMillis = now;
     if (withEndpoints) {
       resetStalenessTimeout();
--- a/src/main/java/loadbalancer/policy/HedgingPolicy.java
+++ b/src/main/java/loadbalancer/policy/HedgingPolicy.java
@@ -4,81 +4,90 @@
 import loadbalancer.model.LimitSettings;
 
 /**
- * When an attempt is slow enough for a hedged request, or, where two at once are not allowed, to be
- * abandoned for a retry.
+ * Decides when an attempt is slow enough for a hedged request or, where parallel attempts are not
+ * allowed, is abandoned for a retry.
  *
- * <p>Slow is what a small share of the class's attempts exceed: the quantile is tracked as a
- * multiple of the expected latency, so that it fits narrow and long-tailed classes.
+ * <p>An attempt is slow above the 95th percentile of the latency of its class. The percentile is
+ * tracked as a ratio to the expected latency (the slow ratio), so that it fits classes with a
+ * narrow latency distribution as well as those with a long tail.
  */
 final class HedgingPolicy {
 
-  /** Initial slow ratio, before any latency was seen. */
-  static final double FIRST_SLOW_RATIO = 3;
+  /** Slow ratio of a class before any of its latencies is known. */
+  static final double INITIAL_SLOW_RATIO = 3;
 
   private static final double MIN_SLOW_RATIO = 1.5;
   private static final double MAX_SLOW_RATIO = 10;
 
-  /** Share of attempts that are slow. */
+  /** Share of the attempts that are slow. */
   private static final double SLOW_SHARE = 0.05;
 
-  /** Step of the quantile estimate, relative to its value. */
+  /** Step size of the percentile estimate, relative to its value. */
   private static final double SLOW_RATIO_STEP = 0.05;
 
-  /** An attempt is abandoned after this many times the delay of a hedge. */
+  /** An attempt is abandoned after this multiple of the time after which it is slow. */
   private static final double ABANDON_DELAY_RATIO = 2;
 
-  /** No hedges at this overload level or above: they would add to the load. */
+  /** At this overload level or above nothing is hedged, as that would add to the load. */
   static final double OVERLOAD_LIMIT = 0.05;
 
   private final LimitSettings limits;
-  private final RetryBudget budget;
+  private final RetryBudget retryBudget;
 
-  HedgingPolicy(LimitSettings limits, RetryBudget budget) {
+  HedgingPolicy(LimitSettings limits, RetryBudget retryBudget) {
     this.limits = limits;
-    this.budget = budget;
+    this.retryBudget = retryBudget;
   }
 
-  /** Time after which an attempt of this request is slow. */
+  /** Time after its send at which an attempt of this request is slow. */
   static double slowAfterMillis(InFlightRequest request) {
     return request.expectedLatencyMillis() * request.statistics().slowRatio();
   }
 
-  /** Moves the quantile estimate of a class for one attempt's latency over the expected one. */
-  static void recordLatencyRatio(RequestClassStatistics type, double ratio) {
-    double current = type.slowRatio();
-    double moved =
-        current * (1 + SLOW_RATIO_STEP * (ratio > current ? 1 - SLOW_SHARE : -SLOW_SHARE));
-    type.setSlowRatio(Math.min(MAX_SLOW_RATIO, Math.max(MIN_SLOW_RATIO, moved)));
+  /**
+   * Updates the percentile estimate of a class.
+   *
+   * @param latencyRatio latency of an attempt divided by its expected latency
+   */
+  static void recordLatencyRatio(RequestClassStatistics requestClass, double latencyRatio) {
+    double slowRatio = requestClass.slowRatio();
+    double updatedSlowRatio =
+        slowRatio
+            * (1 + SLOW_RATIO_STEP * (latencyRatio > slowRatio ? 1 - SLOW_SHARE : -SLOW_SHARE));
+    requestClass.setSlowRatio(Math.min(MAX_SLOW_RATIO, Math.max(MIN_SLOW_RATIO, updatedSlowRatio)));
   }
 
-  /** Records an attempt that was slow and brought no response. */
-  static void recordUnfinished(RequestClassStatistics type) {
-    recordLatencyRatio(type, Double.MAX_VALUE);
+  /** Records a slow attempt that ended without a response. */
+  static void recordUnfinished(RequestClassStatistics requestClass) {
+    recordLatencyRatio(requestClass, Double.MAX_VALUE);
   }
 
-  /** Whether an attempt of the request, with so much time left, may be hedged once it is slow. */
-  boolean mayHedge(InFlightRequest request, double remainingMillis) {
+  /** Whether an attempt sent now can be hedged later, when it is slow. */
+  boolean isHedgeable(InFlightRequest request, double remainingMillis) {
     return isRepeatable(request)
         && limits.parallelAttempts()
         && slowAfterMillis(request) + request.expectedLatencyMillis() < remainingMillis;
   }
 
-  /** The timeout of an attempt that will not be hedged: shorter where a retry can follow. */
+  /**
+   * The timeout of an attempt that will not be hedged: the remaining time, or less if that leaves
+   * enough time for a retry and the budget allows one.
+   */
   double timeoutMillis(InFlightRequest request, double remainingMillis) {
-    double abandonAfter = ABANDON_DELAY_RATIO * slowAfterMillis(request);
+    double abandonAfterMillis = ABANDON_DELAY_RATIO * slowAfterMillis(request);
     return isRepeatable(request)
-            && budget.hasToken()
-            && abandonAfter + request.expectedLatencyMillis() < remainingMillis
-        ? abandonAfter
+            && retryBudget.hasToken()
+            && abandonAfterMillis + request.expectedLatencyMillis() < remainingMillis
+        ? abandonAfterMillis
         : remainingMillis;
   }
 
-  /** Whether the request is hedged now that this attempt, its last one, is slow. */
-  boolean hedges(InFlightRequest request, int attempt, double now) {
+  /** Whether to send a hedged request for an attempt that is now slow: only for the latest one. */
+  boolean shouldHedge(InFlightRequest request, int attemptNumber, double now) {
     return !request.isStreaming()
-        && request.attempts().size() == attempt + 1
-        && request.attempts().get(attempt).isRunning()
-        && budget.hasToken()
+        && request.attempts().size() == attemptNumber + 1
+        && request.attempts().get(attemptNumber).isRunning()
+        && retryBudget.hasToken()
         && request.statistics().placementGroup().overload().level() < OVERLOAD_LIMIT
         && request.usefulUntilMillis() - now > request.expectedLatencyMillis();
   }
--- a/src/main/java/loadbalancer/policy/InFlightRequest.java
+++ b/src/main/java/loadbalancer/policy/InFlightRequest.java
@@ -6,10 +6,13 @@
 import loadbalancer.model.ClientRequest;
 import loadbalancer.model.RequestClass;
 
-/** A request that is not settled, with its attempts: state only, no decisions. */
+/**
+ * A request, from its arrival until it has its final response and none of its attempts may still be
+ * running. Holds state only; the decisions are made elsewhere.
+ */
 final class InFlightRequest {
 
-  /** Share of the expected latency that grows with the request's cost; the rest is queueing. */
+  /** Share of the expected latency in proportion to the cost estimate; the rest is queueing. */
   private static final double COST_DEPENDENT_SHARE = 0.5;
 
   private final ClientRequest clientRequest;
@@ -20,33 +23,40 @@
   private final double usefulUntilMillis;
   private final List<Attempt> attempts = new ArrayList<>(2);
 
-  /** The unsettled requests of its key in order of arrival, this one included; null if unkeyed. */
+  /**
+   * The requests with the same ordering key in order of arrival, this one included; null without an
+   * ordering key.
+   */
   private ArrayDeque<InFlightRequest> keyQueue;
 
-  private double settlesAtMillis = Double.NEGATIVE_INFINITY;
+  private double keyReservedUntilMillis = Double.NEGATIVE_INFINITY;
   private double queuedUntilMillis;
-  private int running;
+  private int runningAttempts;
   private boolean done;
   private boolean streaming;
 
-  InFlightRequest(ClientRequest request, RequestClassStatistics statistics, double arrivedAt) {
-    this.clientRequest = request;
+  InFlightRequest(
+      ClientRequest clientRequest, RequestClassStatistics statistics, double arrivedAtMillis) {
+    this.clientRequest = clientRequest;
     this.statistics = statistics;
     this.requestClass = statistics.requestClass();
-    this.id = request.id();
-    this.arrivedAtMillis = arrivedAt;
-    this.usefulUntilMillis = endOfUse(request, requestClass, arrivedAt);
+    this.id = clientRequest.id();
+    this.arrivedAtMillis = arrivedAtMillis;
+    this.usefulUntilMillis = computeUsefulUntilMillis(clientRequest, requestClass, arrivedAtMillis);
   }
 
-  /** A late response without value is not worth its work: the objective is then the deadline. */
-  private static double endOfUse(ClientRequest request, RequestClass type, double arrivedAt) {
-    if (type.lateResponseValue() > 0) {
-      return request.deadlineMillis();
+  /** The deadline; or the end of the latency objective, if a late response has no value. */
+  private static double computeUsefulUntilMillis(
+      ClientRequest clientRequest, RequestClass requestClass, double arrivedAtMillis) {
+    if (requestClass.lateResponseValue() > 0) {
+      return clientRequest.deadlineMillis();
     }
     double objectiveMillis =
-        type.latencyObjectiveMillis() + type.objectivePerCost() * request.costMillis();
+        requestClass.latencyObjectiveMillis()
+            + requestClass.objectivePerCost() * clientRequest.costMillis();
     return Math.min(
-        request.deadlineMillis(), arrivedAt + Math.min(type.deadlineMillis(), objectiveMillis));
+        clientRequest.deadlineMillis(),
+        arrivedAtMillis + Math.min(requestClass.deadlineMillis(), objectiveMillis));
   }
 
   ClientRequest clientRequest() {
@@ -57,6 +67,7 @@
     return requestClass;
   }
 
+  /** The statistics of its class. */
   RequestClassStatistics statistics() {
     return statistics;
   }
@@ -69,7 +80,7 @@
     return arrivedAtMillis;
   }
 
-  /** When a response stops being worth its work. */
+  /** The time after which a response has no value for the client. */
   double usefulUntilMillis() {
     return usefulUntilMillis;
   }
@@ -80,18 +91,19 @@
 
   void addAttempt(Attempt attempt) {
     attempts.add(attempt);
-    running++;
+    runningAttempts++;
   }
 
   void attemptFinished() {
-    running--;
+    runningAttempts--;
   }
 
+  /** Whether any attempt has not ended. */
   boolean hasRunningAttempt() {
-    return running > 0;
+    return runningAttempts > 0;
   }
 
-  /** Whether the final response has been given or is no longer owed. */
+  /** Whether it has its final response or, after its client disconnected, needs none. */
   boolean isDone() {
     return done;
   }
@@ -100,7 +112,7 @@
     done = true;
   }
 
-  /** Whether a response to the client has begun. */
+  /** Whether a streamed response to the client has begun. */
   boolean isStreaming() {
     return streaming;
   }
@@ -109,6 +121,7 @@
     streaming = true;
   }
 
+  /** The requests with the same ordering key; null without an ordering key. */
   ArrayDeque<InFlightRequest> keyQueue() {
     return keyQueue;
   }
@@ -117,16 +130,16 @@
     keyQueue = queue;
   }
 
-  /** Until when an abandoned attempt may still be running. */
-  double settlesAtMillis() {
-    return settlesAtMillis;
+  /** Until when its ordering key stays reserved, as an abandoned attempt may still be running. */
+  double keyReservedUntilMillis() {
+    return keyReservedUntilMillis;
   }
 
-  void setSettlesAtMillis(double atMillis) {
-    settlesAtMillis = atMillis;
+  void setKeyReservedUntilMillis(double untilMillis) {
+    keyReservedUntilMillis = untilMillis;
   }
 
-  /** Until when it stays queued if no endpoint is found. */
+  /** Until when it may stay queued while no endpoint can be selected for it. */
   double queuedUntilMillis() {
     return queuedUntilMillis;
   }
@@ -135,13 +148,15 @@
     queuedUntilMillis = untilMillis;
   }
 
-  /** Its expected work relative to the mean of its class; 1 if unknown. */
+  /** Its cost estimate relative to the mean of its class; 1 if either is unknown. */
   double relativeCost() {
-    double mean = statistics.meanCostMillis();
-    return clientRequest.costMillis() > 0 && mean > 0 ? clientRequest.costMillis() / mean : 1;
+    double meanCostMillis = statistics.meanCostMillis();
+    return clientRequest.costMillis() > 0 && meanCostMillis > 0
+        ? clientRequest.costMillis() / meanCostMillis
+        : 1;
   }
 
-  /** Its expected latency relative to the mean of its class. */
+  /** Its expected latency relative to that of a request of mean cost of its class. */
   double latencyFactor() {
     return 1 - COST_DEPENDENT_SHARE + COST_DEPENDENT_SHARE * relativeCost();
   }
@@ -151,6 +166,7 @@
     return statistics.latencyMillis() * latencyFactor();
   }
 
+  /** Whether an attempt has been sent to the endpoint. */
   boolean hasTried(EndpointStatistics endpoint) {
     for (Attempt attempt : attempts) {
       if (attempt.endpoint() == endpoint) {
@@ -160,7 +176,7 @@
     return false;
   }
 
-  /** The earliest attempt that may have had an effect; null if there is none. */
+  /** The earliest attempt that may have had an effect, or null if there is none. */
   Attempt firstAttemptThatMayHaveRun() {
     for (Attempt attempt : attempts) {
       if (attempt.mayHaveRun()) {
--- a/src/main/java/loadbalancer/policy/KeyedRequestQueue.java
+++ b/src/main/java/loadbalancer/policy/KeyedRequestQueue.java
@@ -6,30 +6,30 @@
 import loadbalancer.model.AttemptOutcome;
 
 /**
- * Orders the requests of one key: they are sent one at a time, in order of arrival. A request
+ * Sends the requests with the same ordering key one at a time, in order of arrival. A request
  * releases its key once it is done and none of its attempts may still be running.
  */
 final class KeyedRequestQueue {
 
-  /** Looked up by key only; a key without requests is removed. */
-  private final Map<Long, ArrayDeque<InFlightRequest>> queues = new HashMap<>();
+  /** Requests in order of arrival by ordering key; without empty queues. Never iterated. */
+  private final Map<Long, ArrayDeque<InFlightRequest>> queuesByKey = new HashMap<>();
 
-  /** Queues a request behind those of its key, if its class is ordered and it has one. */
+  /** Queues a request behind those with the same key, if its class is ordered and it has a key. */
   void add(InFlightRequest request) {
     long key = request.clientRequest().key();
     if (request.requestClass().orderedByKey() && key != 0) {
-      ArrayDeque<InFlightRequest> queue = queues.computeIfAbsent(key, k -> new ArrayDeque<>());
+      ArrayDeque<InFlightRequest> queue = queuesByKey.computeIfAbsent(key, k -> new ArrayDeque<>());
       request.setKeyQueue(queue);
       queue.addLast(request);
     }
   }
 
-  /** Whether no earlier request holds the key. */
-  static boolean isFirst(InFlightRequest request) {
+  /** Whether no earlier request has the same key; always true without an ordering key. */
+  static boolean isFirstOfKey(InFlightRequest request) {
     return request.keyQueue() == null || request.keyQueue().peekFirst() == request;
   }
 
-  /** The time that the earlier requests of its key are expected to take. */
+  /** The time that the earlier requests with the same key are expected to take in total. */
   static double expectedWaitMillis(InFlightRequest request) {
     return request.keyQueue() == null
         ? 0
@@ -39,25 +39,28 @@
             .sum();
   }
 
-  /** Keeps the key reserved after an attempt that was abandoned and may still be running. */
+  /**
+   * Keeps the key reserved for {@code settleMillis} after an attempt that was abandoned: the
+   * endpoint may still be working on it.
+   */
   static void attemptFinished(
       InFlightRequest request, AttemptOutcome outcome, double settleMillis, double now) {
     if (outcome == AttemptOutcome.TIMEOUT
         || outcome == AttemptOutcome.RESET
         || outcome == AttemptOutcome.CANCELLED) {
-      request.setSettlesAtMillis(now + settleMillis);
+      request.setKeyReservedUntilMillis(now + settleMillis);
     }
   }
 
-  /** Whether an abandoned attempt may still be running, so that the key stays reserved. */
-  static boolean isSettling(InFlightRequest request, double now) {
-    return request.keyQueue() != null && now < request.settlesAtMillis();
+  /** Whether the request keeps its key because an abandoned attempt may still be running. */
+  static boolean isKeyReserved(InFlightRequest request, double now) {
+    return request.keyQueue() != null && now < request.keyReservedUntilMillis();
   }
 
   /**
-   * Removes a settled request.
+   * Removes a request that is done and has no attempt that may still be running.
    *
-   * @return the request that may be sent next, or null if that has not changed
+   * @return the request with the same key that may be sent now, or null if there is none
    */
   InFlightRequest release(InFlightRequest request) {
     ArrayDeque<InFlightRequest> queue = request.keyQueue();
@@ -67,7 +70,7 @@
     boolean wasFirst = queue.peekFirst() == request;
     queue.remove(request);
     if (queue.isEmpty()) {
-      queues.remove(request.clientRequest().key());
+      queuesByKey.remove(request.clientRequest().key());
       return null;
     }
     return wasFirst ? queue.peekFirst() : null;
--- a/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
+++ b/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
@@ -13,39 +13,40 @@
 import loadbalancer.model.PolicySettings;
 
 /**
- * Sends each request to an endpoint chosen at random in proportion to 1/cost, see {@link
- * EndpointCost}.
+ * Sends each attempt to an endpoint chosen at random with a probability in proportion to 1/cost,
+ * see {@link EndpointCost}.
  *
- * <p>This class owns the requests in flight and asks the rules in turn: {@link AdmissionController}
- * on arrival, {@link EndpointSelector} for each attempt, {@link HedgingPolicy} while it runs,
- * {@link RetryPolicy} when it has ended, {@link PendingRequests} and {@link KeyedRequestQueue} for
- * requests that wait, {@link DiscoveryRefresh} for the endpoint list.
+ * <p>This class owns the requests in flight and handles the events. The decisions are made by one
+ * class each: {@link AdmissionController} when a request arrives, {@link EndpointSelector} for each
+ * attempt, {@link HedgingPolicy} while the attempt is running, {@link RetryPolicy} when it has
+ * ended, {@link PendingRequests} and {@link KeyedRequestQueue} for requests that are queued, {@link
+ * DiscoveryRefresh} and {@link IdleConnectionRelease} for discovery and connections.
  */
 public final class LatencyWeightedPolicy implements LoadBalancingPolicy {
 
   private final PolicyActions actions;
-  private final Map<Long, InFlightRequest> requests = new HashMap<>();
+  private final Map<Long, InFlightRequest> requestsById = new HashMap<>();
   private final KeyedRequestQueue keyedRequests = new KeyedRequestQueue();
-  private final PendingRequests pending;
+  private final PendingRequests pendingRequests;
   private final RetryBudget retryBudget = new RetryBudget();
   private final RetryPolicy retryPolicy = new RetryPolicy(retryBudget);
 
-  // The parts below depend on the settings and are set by start.
+  // The fields below depend on the settings and are set by start().
   private PolicySettings settings;
   private RequestClassStatistics[] requestClasses;
-  private EndpointList endpoints;
+  private EndpointList endpointList;
   private EndpointSubset subset;
   private SlowStart slowStart;
   private EndpointSelector selector;
-  private AdmissionController admission;
-  private HedgingPolicy hedging;
-  private DiscoveryRefresh discovery;
-  private IdleConnectionRelease idleConnections;
+  private AdmissionController admissionController;
+  private HedgingPolicy hedgingPolicy;
+  private DiscoveryRefresh discoveryRefresh;
+  private IdleConnectionRelease idleConnectionRelease;
 
-  /** Creates an instance that asks its host for actions through {@code actions}. */
+  /** Creates an instance that has its actions carried out by {@code actions}. */
   public LatencyWeightedPolicy(PolicyActions actions) {
     this.actions = actions;
-    this.pending = new PendingRequests(actions);
+    this.pendingRequests = new PendingRequests(actions);
   }
 
   @Override
@@ -57,74 +58,79 @@
         requestClasses, i -> new RequestClassStatistics(i, settings.requestClasses().get(i)));
     slowStart = new SlowStart(settings);
     subset = new EndpointSubset(settings.instanceIndex());
-    endpoints = new EndpointList(settings.machineTypeCount(), requestClasses.length, slowStart);
-    hedging = new HedgingPolicy(settings.limits(), retryBudget);
-    idleConnections = new IdleConnectionRelease(actions, settings.limits().idleTimeoutMillis());
-    createOverloadAndSelectionRules(random);
-    discovery = new DiscoveryRefresh(settings, actions, random, now);
-    discovery.start();
+    endpointList = new EndpointList(settings.machineTypeCount(), requestClasses.length, slowStart);
+    hedgingPolicy = new HedgingPolicy(settings.limits(), retryBudget);
+    idleConnectionRelease =
+        new IdleConnectionRelease(actions, settings.limits().idleTimeoutMillis());
+    createAdmissionAndSelection(random);
+    discoveryRefresh = new DiscoveryRefresh(settings, actions, random, now);
+    discoveryRefresh.start();
   }
 
-  private void createOverloadAndSelectionRules(SplittableRandom random) {
+  private void createAdmissionAndSelection(SplittableRandom random) {
     PlacementGroup[] placementGroups = PlacementGroup.group(requestClasses);
-    RequestClassValue value = new RequestClassValue(settings.priorityByWork());
-    admission =
+    RequestClassValue classValue = new RequestClassValue(settings.priorityByWork());
+    admissionController =
         new AdmissionController(
             settings.tier(),
             settings.limits(),
             requestClasses,
-            new SheddingPlan(value, settings.worstClassWeight()),
+            new SheddingPlan(classValue, settings.worstClassWeight()),
             random);
     selector =
         new EndpointSelector(
             new EndpointEligibility(settings.limits()),
             new EndpointCost(settings, placementGroups, slowStart),
-            new QueueingLimit(settings.tier(), requestClasses, value),
+            new QueueingLimit(settings.tier(), requestClasses, classValue),
             slowStart,
             random);
   }
 
-  // ---- Arrival and queues
+  // ---- Arriving and queued requests
 
   @Override
   public void requestArrived(double now, ClientRequest clientRequest) {
-    RequestClassStatistics type = requestClasses[clientRequest.requestClass()];
-    InFlightRequest request = new InFlightRequest(clientRequest, type, now);
-    requests.put(request.id(), request);
+    RequestClassStatistics classStatistics = requestClasses[clientRequest.requestClass()];
+    InFlightRequest request = new InFlightRequest(clientRequest, classStatistics, now);
+    requestsById.put(request.id(), request);
     retryBudget.requestArrived();
-    type.recordArrival(clientRequest.costMillis(), clientRequest.retry());
-    if (admission.shouldReject(request)) {
-      finishUnserved(request, now);
+    classStatistics.recordArrival(clientRequest.costMillis(), clientRequest.retry());
+    if (admissionController.shouldReject(request)) {
+      rejectOrFail(request, now);
       return;
     }
-    slowStart.grantBudget(request, endpoints.ready(), subset.stride(), now);
+    slowStart.grantBudget(request, endpointList.ready(), subset.stride(), now);
     keyedRequests.add(request);
     dispatch(request, now);
   }
 
   /**
-   * Sends the next attempt. A request without any attempt is queued while its key is reserved or no
-   * endpoint can be used; it is finished as soon as it cannot be served in time, at once where the
-   * endpoints are over the queueing limit.
+   * Sends the next attempt of a request if an endpoint can be selected for it.
+   *
+   * <p>Otherwise the request is queued if it has no attempt and its time in the queue is not over;
+   * but not if the selection left out an endpoint because of the queueing limit. A request that is
+   * not queued is rejected or fails.
    */
   private void dispatch(InFlightRequest request, double now) {
-    double latestSend = PendingRequests.latestSendMillis(request);
-    PendingRequests.limitQueueTime(request, latestSend);
-    boolean keyIsFree = KeyedRequestQueue.isFirst(request);
+    double latestSendMillis = PendingRequests.latestSendMillis(request);
+    PendingRequests.limitQueueTime(request, latestSendMillis);
+    boolean isFirstOfKey = KeyedRequestQueue.isFirstOfKey(request);
     EndpointStatistics endpoint =
-        keyIsFree && now < latestSend ? selector.select(request, endpoints.ready(), now) : null;
+        isFirstOfKey && now < latestSendMillis
+            ? selector.select(request, endpointList.ready(), now)
+            : null;
     if (endpoint != null) {
       send(request, endpoint, now);
-    } else if (PendingRequests.mayQueue(request, now)
-        && !(keyIsFree && selector.queueingLimitReached())) {
-      pending.queue(request, keyIsFree, now);
+    } else if (PendingRequests.mayStayQueued(request, now)
+        && !(isFirstOfKey && selector.queueingLimitReached())) {
+      pendingRequests.queue(request, isFirstOfKey, now);
     } else {
-      finishUnserved(request, now);
+      rejectOrFail(request, now);
     }
   }
 
   private void dispatchQueued(InFlightRequest request, double now) {
-    if (pending.maySelect(request, now)) {
+    if (pendingRequests.maySelect(request, now)) {
       dispatch(request, now);
       if (!request.isDone() && request.attempts().isEmpty()) {
         PendingRequests.selectionFailed(request, now);
@@ -135,19 +141,19 @@
   // ---- Attempts
 
   private void send(InFlightRequest request, EndpointStatistics endpoint, double now) {
-    double rejectedShare = request.statistics().placementGroup().overload().rejectedShare();
-    Attempt attempt = new Attempt(request, endpoint, now, rejectedShare);
+    double rejectedShareAtSend = request.statistics().placementGroup().overload().rejectedShare();
+    Attempt attempt = new Attempt(request, endpoint, now, rejectedShareAtSend);
     double timeoutMillis = request.usefulUntilMillis() - now;
-    if (hedging.mayHedge(request, timeoutMillis)) {
+    if (hedgingPolicy.isHedgeable(request, timeoutMillis)) {
       actions.scheduleTimer(
           TimerToken.hedge(request.id(), attempt.number()),
           now + HedgingPolicy.slowAfterMillis(request));
     } else {
-      timeoutMillis = hedging.timeoutMillis(request, timeoutMillis);
+      timeoutMillis = hedgingPolicy.timeoutMillis(request, timeoutMillis);
     }
     request.addAttempt(attempt);
     endpoint.attemptSent(attempt);
-    if (admission.monitorsAttempts()) {
+    if (admissionController.monitorsAttempts()) {
       actions.scheduleTimer(
           TimerToken.lateAttempt(request.id(), attempt.number()),
           now + OverloadDetector.lateAfterMillis(request));
@@ -159,15 +165,15 @@
   public void timerExpired(double now, long token) {
     TimerToken.Kind kind = TimerToken.kind(token);
     if (kind == TimerToken.Kind.DISCOVERY_RETRY) {
-      discovery.retry();
+      discoveryRefresh.restartWatch();
       return;
     }
-    InFlightRequest request = requests.get(TimerToken.requestId(token));
+    InFlightRequest request = requestsById.get(TimerToken.requestId(token));
     if (request == null) {
       return;
     }
     if (request.isDone()) {
-      removeIfSettled(request, now);
+      removeIfComplete(request, now);
       return;
     }
     switch (kind) {
@@ -176,23 +182,24 @@
           dispatchQueued(request, now);
         }
       }
-      case LATE_ATTEMPT -> reportIfLate(request.attempts().get(TimerToken.attempt(token)), now);
-      case HEDGE -> hedgeIfSlow(request, TimerToken.attempt(token), now);
-      default -> throw new IllegalStateException("unexpected timer " + kind);
+      case LATE_ATTEMPT ->
+          reportIfLate(request.attempts().get(TimerToken.attemptNumber(token)), now);
+      case HEDGE -> hedgeIfSlow(request, TimerToken.attemptNumber(token), now);
+      default -> throw new IllegalStateException("unexpected timer kind: " + kind);
     }
   }
 
   private void reportIfLate(Attempt attempt, double now) {
     if (attempt.isRunning() && !attempt.isStreaming()) {
-      admission.attemptLate(attempt, endpoints.ready(), now);
+      admissionController.attemptLate(attempt, endpointList.ready(), now);
     }
   }
 
-  private void hedgeIfSlow(InFlightRequest request, int attempt, double now) {
-    if (!hedging.hedges(request, attempt, now)) {
+  private void hedgeIfSlow(InFlightRequest request, int attemptNumber, double now) {
+    if (!hedgingPolicy.shouldHedge(request, attemptNumber, now)) {
       return;
     }
-    EndpointStatistics endpoint = selector.select(request, endpoints.ready(), now);
+    EndpointStatistics endpoint = selector.select(request, endpointList.ready(), now);
     if (endpoint != null) {
       retryBudget.spend();
       send(request, endpoint, now);
@@ -200,10 +207,10 @@
   }
 
   @Override
-  public void responseStarted(double now, long requestId, int number, double elapsedMillis) {
-    InFlightRequest request = requests.get(requestId);
-    if (request != null && number < request.attempts().size()) {
-      Attempt attempt = request.attempts().get(number);
+  public void responseStarted(double now, long requestId, int attemptNumber, double elapsedMillis) {
+    InFlightRequest request = requestsById.get(requestId);
+    if (request != null && attemptNumber < request.attempts().size()) {
+      Attempt attempt = request.attempts().get(attemptNumber);
       request.startStreaming();
       attempt.startStreaming();
       AttemptEvidence.recordLatency(attempt, elapsedMillis);
@@ -212,26 +219,26 @@
 
   @Override
   public void attemptFinished(double now, AttemptResult result) {
-    InFlightRequest request = requests.get(result.requestId());
+    InFlightRequest request = requestsById.get(result.requestId());
     if (request == null
         || result.attempt() >= request.attempts().size()
         || !request.attempts().get(result.attempt()).isRunning()) {
       return;
     }
     Attempt attempt = request.attempts().get(result.attempt());
-    recordEnd(attempt, result, now);
+    recordAttemptEnd(attempt, result, now);
     if (result.requestClosed() || request.isDone()) {
       finish(request, now);
     } else if (!request.hasRunningAttempt()) {
-      if (retryPolicy.acquireRetry(result.outcome())) {
+      if (retryPolicy.tryAcquireRetry(result.outcome())) {
         dispatch(request, now);
       } else {
-        finishUnserved(request, now);
+        rejectOrFail(request, now);
       }
     }
   }
 
-  private void recordEnd(Attempt attempt, AttemptResult result, double now) {
+  private void recordAttemptEnd(Attempt attempt, AttemptResult result, double now) {
     AttemptOutcome outcome = result.outcome();
     EndpointStatistics endpoint = attempt.endpoint();
     attempt.finish(outcome);
@@ -240,27 +247,30 @@
     KeyedRequestQueue.attemptFinished(
         attempt.request(), outcome, settings.rules().keySettleMillis(), now);
     AttemptEvidence.recordOutcome(attempt, result, now);
-    admission.attemptFinished(attempt, result, endpoints.ready(), now);
+    admissionController.attemptFinished(attempt, result, endpointList.ready(), now);
     if (outcome == AttemptOutcome.OK && attempt.number() > 0) {
-      retryBudget.furtherAttemptServed();
+      retryBudget.retryOrHedgeServed();
     }
-    idleConnections.attemptFinished(endpoint, outcome, now);
-    discovery.attemptFinished(endpoint, outcome, now);
+    idleConnectionRelease.attemptFinished(endpoint, outcome, now);
+    discoveryRefresh.attemptFinished(endpoint, outcome, now);
   }
 
   // ---- Final responses
 
-  /** Rejects a request where a repeat by its client is safe, and otherwise fails it. */
-  private void finishUnserved(InFlightRequest request, double now) {
+  /** Rejects a request if its client may safely send it again; otherwise fails it. */
+  private void rejectOrFail(InFlightRequest request, double now) {
     if (RetryPolicy.isSafeToRepeat(request)) {
-      actions.reject(request.id(), admission.retryAfterMillis(request));
+      actions.reject(request.id(), admissionController.retryAfterMillis(request));
     } else {
       actions.failRequest(request.id());
     }
     finish(request, now);
   }
 
-  /** The request has its final response: attempts still running only waste work. */
+  /**
+   * Ends a request that has its final response or that no longer needs one. Attempts that are still
+   * running would only waste work and are cancelled, except streamed responses that have begun.
+   */
   private void finish(InFlightRequest request, double now) {
     if (!request.isDone() && settings.limits().cancellation()) {
       for (Attempt attempt : request.attempts()) {
@@ -270,27 +280,30 @@
       }
     }
     request.markDone();
-    removeIfSettled(request, now);
+    removeIfComplete(request, now);
   }
 
-  /** Removes a finished request once none of its attempts may be running, and frees its key. */
-  private void removeIfSettled(InFlightRequest request, double now) {
+  /**
+   * Removes a finished request and releases its key once none of its attempts may still be running;
+   * otherwise checks again when the key is no longer reserved or the next attempt ends.
+   */
+  private void removeIfComplete(InFlightRequest request, double now) {
     if (request.hasRunningAttempt()) {
       return;
     }
-    if (KeyedRequestQueue.isSettling(request, now)) {
-      actions.scheduleTimer(TimerToken.queue(request.id()), request.settlesAtMillis());
-    } else if (requests.remove(request.id()) != null) {
-      InFlightRequest next = keyedRequests.release(request);
-      if (next != null) {
-        dispatch(next, now);
+    if (KeyedRequestQueue.isKeyReserved(request, now)) {
+      actions.scheduleTimer(TimerToken.queue(request.id()), request.keyReservedUntilMillis());
+    } else if (requestsById.remove(request.id()) != null) {
+      InFlightRequest nextOfKey = keyedRequests.release(request);
+      if (nextOfKey != null) {
+        dispatch(nextOfKey, now);
       }
     }
   }
 
   @Override
   public void clientDisconnected(double now, long requestId) {
-    InFlightRequest request = requests.get(requestId);
+    InFlightRequest request = requestsById.get(requestId);
     if (request != null) {
       finish(request, now);
     }
@@ -299,14 +312,14 @@
   // ---- Discovery
 
   @Override
-  public void endpointsChanged(double now, EndpointUpdateType type, List<Endpoint> updates) {
-    discovery.contacted(!updates.isEmpty(), now);
-    if (type == EndpointUpdateType.FAILED) {
-      discovery.callFailed(now);
+  public void endpointsChanged(double now, EndpointUpdateType updateType, List<Endpoint> updates) {
+    discoveryRefresh.recordContact(!updates.isEmpty(), now);
+    if (updateType == EndpointUpdateType.FAILED) {
+      discoveryRefresh.callFailed(now);
       return;
     }
-    discovery.callSucceeded();
-    endpoints.update(type, updates, now);
-    subset.update(endpoints.ready());
+    discoveryRefresh.callSucceeded();
+    endpointList.update(updateType, updates, now);
+    subset.update(endpointList.ready());
   }
 }
--- a/src/main/java/loadbalancer/policy/PendingRequests.java
+++ b/src/main/java/loadbalancer/policy/PendingRequests.java
@@ -1,18 +1,21 @@
 package loadbalancer.policy;
 
 /**
- * How long a request that has no attempt yet may stay queued, and when it looks for an endpoint
- * again.
+ * Limits how long a request without any attempt may stay queued, and schedules the selections of an
+ * endpoint for it.
  */
 final class PendingRequests {
 
-  /** Time after which a queued request looks for an endpoint again. */
+  /** Interval between the endpoint selections for a queued request. */
   static final double SELECTION_INTERVAL_MILLIS = 20;
 
-  /** Share of the expected latency that must be left for an attempt to make sense. */
+  /** An attempt is sent only if this share of the expected latency fits into the remaining time. */
   private static final double MIN_REMAINING_LATENCY_SHARE = 0.25;
 
-  /** Share of its time that a request may stay queued: the rest is left for its client to retry. */
+  /**
+   * Longest time in the queue, as a share of the time from arrival to the deadline. The rest is
+   * left for the client to retry after a rejection.
+   */
   private static final double MAX_QUEUED_TIME_SHARE = 0.45;
 
   private final PolicyActions actions;
@@ -21,53 +24,60 @@
     this.actions = actions;
   }
 
-  /** The latest time at which an attempt could still be served in time. */
+  /** The latest time at which it makes sense to send an attempt of this request. */
   static double latestSendMillis(InFlightRequest request) {
     return request.usefulUntilMillis()
         - MIN_REMAINING_LATENCY_SHARE * request.expectedLatencyMillis()
         - KeyedRequestQueue.expectedWaitMillis(request);
   }
 
-  /**
-   * Sets until when the request may stay queued: part of its time, and not past the latest send.
-   */
+  /** Sets until when the request may stay queued: not past its latest send. */
   static void limitQueueTime(InFlightRequest request, double latestSendMillis) {
-    double arrivedAt = request.arrivedAtMillis();
+    double arrivedAtMillis = request.arrivedAtMillis();
     request.setQueuedUntilMillis(
         Math.min(
             latestSendMillis,
-            arrivedAt
-                + MAX_QUEUED_TIME_SHARE * (request.clientRequest().deadlineMillis() - arrivedAt)));
+            arrivedAtMillis
+                + MAX_QUEUED_TIME_SHARE
+                    * (request.clientRequest().deadlineMillis() - arrivedAtMillis)));
   }
 
-  /** Whether a request that was not sent may stay queued. */
-  static boolean mayQueue(InFlightRequest request, double now) {
+  /** Whether a request for which no attempt could be sent may stay queued. */
+  static boolean mayStayQueued(InFlightRequest request, double now) {
     return now < request.queuedUntilMillis() && request.attempts().isEmpty();
   }
 
-  /** Queues a request; one that waits for its key is woken at the end of its time only. */
-  void queue(InFlightRequest request, boolean keyIsFree, double now) {
-    double until = request.queuedUntilMillis();
-    double wakeUpAt = keyIsFree ? Math.min(until, now + SELECTION_INTERVAL_MILLIS) : until;
-    actions.scheduleTimer(TimerToken.queue(request.id()), wakeUpAt);
+  /**
+   * Queues a request and sets its timer. One that waits for earlier requests of its key needs no
+   * selection until they release the key, so its timer only ends its time in the queue.
+   */
+  void queue(InFlightRequest request, boolean firstOfKey, double now) {
+    double queuedUntilMillis = request.queuedUntilMillis();
+    double timerAtMillis =
+        firstOfKey
+            ? Math.min(queuedUntilMillis, now + SELECTION_INTERVAL_MILLIS)
+            : queuedUntilMillis;
+    actions.scheduleTimer(TimerToken.queue(request.id()), timerAtMillis);
   }
 
   /**
-   * Whether a queued request may look for an endpoint now; otherwise its timer is set again. What
-   * keeps one request from all endpoints keeps its whole class from them, so one selection stands
-   * for the class: those of hundreds would take too much processor time.
+   * Whether an endpoint may be selected for a queued request now; otherwise its timer is set again.
+   *
+   * <p>If no endpoint can be selected for one request, the same is assumed of the other queued
+   * requests of its class until the next interval: a selection for each of hundreds of requests
+   * would take too much CPU time.
    */
   boolean maySelect(InFlightRequest request, double now) {
-    double nextAt =
+    double selectionAtMillis =
         Math.min(request.statistics().nextSelectionAtMillis(), request.queuedUntilMillis());
-    if (now < nextAt) {
-      actions.scheduleTimer(TimerToken.queue(request.id()), nextAt);
+    if (now < selectionAtMillis) {
+      actions.scheduleTimer(TimerToken.queue(request.id()), selectionAtMillis);
       return false;
     }
     return true;
   }
 
-  /** A selection for a queued request found no endpoint: its class waits for the next one. */
+  /** Postpones the selections of a class after one of its queued requests found no endpoint. */
   static void selectionFailed(InFlightRequest request, double now) {
     request.statistics().setNextSelectionAtMillis(now + SELECTION_INTERVAL_MILLIS);
   }
--- a/src/main/java/loadbalancer/policy/RequestClassStatistics.java
+++ b/src/main/java/loadbalancer/policy/RequestClassStatistics.java
@@ -21,7 +21,7 @@
   private double trafficShare;
   private double rejectedShare;
   private double nextSelectionAtMillis = Double.NEGATIVE_INFINITY;
-  private double slowRatio = HedgingPolicy.FIRST_SLOW_RATIO;
+  private double slowRatio = HedgingPolicy.INITIAL_SLOW_RATIO;
 
   RequestClassStatistics(int index, RequestClass type) {
     this.index = index;
--- a/src/main/java/loadbalancer/policy/RetryBudget.java
+++ b/src/main/java/loadbalancer/policy/RetryBudget.java
@@ -1,14 +1,14 @@
 package loadbalancer.policy;
 
 /**
- * A token bucket for attempts beyond the first of a request: bounds the load that retries and
- * hedges add when everything is slow.
+ * A token bucket for retries and hedged requests: it bounds the load that they add when all
+ * endpoints are slow or fail.
  */
 final class RetryBudget {
 
   private static final double TOKENS_PER_REQUEST = 0.1;
 
-  /** Also those granted at start. */
+  /** Capacity of the bucket, which is full at start. */
   private static final double MAX_TOKENS = 3;
 
   private double tokens = MAX_TOKENS;
@@ -17,8 +17,11 @@
     add(TOKENS_PER_REQUEST);
   }
 
-  /** A retry or hedge was served: the fault is in single endpoints, so another may follow. */
-  void furtherAttemptServed() {
+  /**
+   * Returns the token of a retry or hedged request that was served: only some of the endpoints
+   * fail, so that further retries are useful.
+   */
+  void retryOrHedgeServed() {
     add(1);
   }
 
@@ -30,7 +33,7 @@
     tokens -= 1;
   }
 
-  private void add(double earned) {
-    tokens = Math.min(MAX_TOKENS, tokens + earned);
+  private void add(double earnedTokens) {
+    tokens = Math.min(MAX_TOKENS, tokens + earnedTokens);
   }
 }
--- a/src/main/java/loadbalancer/policy/RetryPolicy.java
+++ b/src/main/java/loadbalancer/policy/RetryPolicy.java
@@ -5,39 +5,43 @@
 import loadbalancer.model.Idempotency;
 import loadbalancer.model.RequestClass;
 
-/** Whether a request gets another attempt, and whether its client may safely retry it. */
+/** Decides whether a request is retried, and whether its client may safely retry it. */
 final class RetryPolicy {
 
-  private final RetryBudget budget;
+  private final RetryBudget retryBudget;
 
-  RetryPolicy(RetryBudget budget) {
-    this.budget = budget;
+  RetryPolicy(RetryBudget retryBudget) {
+    this.retryBudget = retryBudget;
   }
 
   /**
-   * Whether the budget allows another attempt after one with this outcome; takes the token. An
-   * attempt without a connection cost the endpoint no work and needs none.
+   * Whether a request may be retried after an attempt with this outcome; takes a token for the
+   * retry. A retry after a failed connect is free, as the failed attempt caused the endpoint no
+   * work. There is none after an attempt that this instance could not send.
    */
-  boolean acquireRetry(AttemptOutcome outcome) {
+  boolean tryAcquireRetry(AttemptOutcome outcome) {
     if (outcome == AttemptOutcome.NOT_SENT) {
       return false;
     }
     if (outcome == AttemptOutcome.CONNECT_FAILED) {
       return true;
     }
-    if (!budget.hasToken()) {
+    if (!retryBudget.hasToken()) {
       return false;
     }
-    budget.spend();
+    retryBudget.spend();
     return true;
   }
 
-  /** Whether a repeat by the client can have no second effect: only then may it be rejected. */
+  /**
+   * Whether the request has no second effect if the client sends it again: only then may it be
+   * rejected.
+   */
   static boolean isSafeToRepeat(InFlightRequest request) {
-    RequestClass type = request.requestClass();
-    return type.idempotency() == Idempotency.IDEMPOTENT
+    RequestClass requestClass = request.requestClass();
+    return requestClass.idempotency() == Idempotency.IDEMPOTENT
         || request.firstAttemptThatMayHaveRun() == null
-        || (type.idempotency() == Idempotency.DEDUPLICATED
-            && type.deduplicationScope() == DeduplicationScope.ALL);
+        || (requestClass.idempotency() == Idempotency.DEDUPLICATED
+            && requestClass.deduplicationScope() == DeduplicationScope.ALL);
   }
 }
--- a/src/main/java/loadbalancer/policy/TimerToken.java
+++ b/src/main/java/loadbalancer/policy/TimerToken.java
@@ -55,7 +55,7 @@
   }
 
   /** The attempt that a late-attempt or hedge timer is for. */
-  static int attempt(long token) {
+  static int attemptNumber(long token) {
     return (int) (token & ~LATE_ATTEMPT_FLAG & LOW_MASK);
   }
 }
--- a/src/test/java/loadbalancer/policy/RetryBudgetTest.java
+++ b/src/test/java/loadbalancer/policy/RetryBudgetTest.java
@@ -45,16 +45,16 @@
   @Test
   void servedRetryGivesItsTokenBack() {
     spendAll();
-    budget.furtherAttemptServed();
+    budget.retryOrHedgeServed();
     assertTrue(budget.hasToken());
   }
 
   @Test
   void retryNeedsATokenUnlessTheAttemptHadNoConnection() {
-    assertTrue(policy.acquireRetry(AttemptOutcome.TIMEOUT));
+    assertTrue(policy.tryAcquireRetry(AttemptOutcome.TIMEOUT));
     assertEquals(2, spendAll());
-    assertFalse(policy.acquireRetry(AttemptOutcome.TIMEOUT));
-    assertTrue(policy.acquireRetry(AttemptOutcome.CONNECT_FAILED));
-    assertFalse(policy.acquireRetry(AttemptOutcome.NOT_SENT));
+    assertFalse(policy.tryAcquireRetry(AttemptOutcome.TIMEOUT));
+    assertTrue(policy.tryAcquireRetry(AttemptOutcome.CONNECT_FAILED));
+    assertFalse(policy.tryAcquireRetry(AttemptOutcome.NOT_SENT));
   }
 }
--- a/src/test/java/loadbalancer/policy/TimerTokenTest.java
+++ b/src/test/java/loadbalancer/policy/TimerTokenTest.java
@@ -17,11 +17,11 @@
     long hedge = TimerToken.hedge(REQUEST_ID, attempt);
     assertEquals(TimerToken.Kind.HEDGE, TimerToken.kind(hedge));
     assertEquals(REQUEST_ID, TimerToken.requestId(hedge));
-    assertEquals(attempt, TimerToken.attempt(hedge));
+    assertEquals(attempt, TimerToken.attemptNumber(hedge));
     long late = TimerToken.lateAttempt(REQUEST_ID, attempt);
     assertEquals(TimerToken.Kind.LATE_ATTEMPT, TimerToken.kind(late));
     assertEquals(REQUEST_ID, TimerToken.requestId(late));
-    assertEquals(attempt, TimerToken.attempt(late));
+    assertEquals(attempt, TimerToken.attemptNumber(late));
   }
 
   @Test
