--- a/src/main/java/loadbalancer/policy/EndpointCost.java
+++ b/src/main/java/loadbalancer/policy/EndpointCost.java
@@ -3,49 +3,78 @@
 import loadbalancer.model.PolicySettings;
 
 /**
- * The cost of sending a request to an endpoint, in milliseconds: its expected latency, to which
- * failures and overdue attempts are added, times a factor for each other reason to avoid it.
- * Endpoints are chosen in proportion to 1/cost.
+ * The cost of sending a request to an endpoint, in milliseconds. It starts from the expected
+ * latency and the delay to expect from failures, rises with the attempts in flight and the time by
+ * which the oldest of them is overdue, and is multiplied by a factor for each further reason to
+ * avoid the endpoint: queueing, another zone, a place outside the subset, requests with a
+ * restricted placement, warm-up. Endpoints are selected with a probability in proportion to 1/cost.
  */
 final class EndpointCost {
 
-  /** Least success rate reckoned with: a failing endpoint still gets an attempt now and then. */
+  /**
+   * Lower bound of the success rate in the expected latency, so that an endpoint that fails every
+   * attempt still gets one from time to time, which shows when it has recovered.
+   */
   private static final double MIN_SUCCESS_RATE = 0.05;
 
-  /** Growth for each attempt in flight, as a new one waits behind them. */
-  private static final double IN_FLIGHT_GROWTH = 1.4;
+  /**
+   * Relative cost increase for each attempt in flight at the endpoint: a new attempt has to wait
+   * for these.
+   */
+  private static final double COST_INCREASE_PER_ATTEMPT_IN_FLIGHT = 1.4;
 
-  /** Added for each millisecond that the oldest attempt is overdue. */
-  private static final double OVERDUE_WEIGHT = 4;
+  /** Cost in milliseconds for each millisecond by which the oldest attempt is overdue. */
+  private static final double COST_PER_OVERDUE_MILLI = 4;
 
   /**
-   * Growth for a remote zone, for the square root of its cost; finite, so that it stays selectable.
+   * Relative cost increase for an endpoint in another zone is this times the square root of {@link
+   * loadbalancer.model.CostSettings#crossZoneCost()}. It is finite, so that endpoints in other
+   * zones are still selected now and then.
    */
-  private static final double CROSS_ZONE_GROWTH = 400;
+  private static final double CROSS_ZONE_PENALTY_FACTOR = 400;
 
-  /** Steep: half of the limit on delay or failure rate hardly offsets the cross-zone penalty. */
-  private static final double CROSS_ZONE_OFFSET_POWER = 4;
+  /**
+   * Exponent of the failure rate and of the queueing delay, each relative to its limit, in the
+   * factors that offset the cross-zone penalty. It is high, so that half of the limit offsets only
+   * a sixteenth of the penalty.
+   */
+  private static final double CROSS_ZONE_OFFSET_EXPONENT = 4;
 
-  /** Failure rate that offsets the cross-zone penalty. */
-  private static final double CROSS_ZONE_FAILURE_RATE = 0.4;
+  /** Failure rate, 0 to 1, at which the failure factor equals the cross-zone factor. */
+  private static final double CROSS_ZONE_FAILURE_RATE_LIMIT = 0.4;
 
-  /** Bound of that offset: a failing endpoint still gets attempts that show its recovery. */
-  private static final double MAX_FAILURE_OFFSET = 16;
+  /**
+   * Upper bound of the failure factor, in multiples of the cross-zone penalty, so that a failing
+   * endpoint still gets attempts that show when it has recovered.
+   */
+  private static final double MAX_FAILURE_PENALTY_RATIO = 16;
 
-  /** Attempts that an endpoint is taken to serve at once, whatever was seen. */
+  /** Lower bound of the mean number of other attempts in flight in the queueing estimate. */
   private static final double MIN_CONCURRENCY = 4;
 
-  /** Growth outside the subset without evidence; falls as the endpoints become known. */
-  private static final double OUTSIDE_SUBSET_GROWTH = 60;
+  /**
+   * Relative cost increase outside the subset while there is no evidence of any endpoint. It falls
+   * with the square of the attempts per endpoint.
+   */
+  private static final double OUTSIDE_SUBSET_PENALTY = 60;
 
-  /** Growth outside the subset for each point that connections cost. */
-  private static final double CONNECTION_COST_GROWTH = 200;
+  /**
+   * Relative cost increase outside the subset for each unit of the connection and handshake cost in
+   * {@link loadbalancer.model.CostSettings}.
+   */
+  private static final double CONNECTION_PENALTY_FACTOR = 200;
 
-  /** Growth with the overload level of requests that can go nowhere else. */
-  private static final double RESTRICTED_GROWTH = 40;
+  /**
+   * Relative cost increase of an endpoint for each unit of the overload level of a restricted
+   * placement that includes it and is not the request's own.
+   */
+  private static final double RESTRICTED_PLACEMENT_PENALTY_FACTOR = 40;
 
-  /** Overload level reckoned with for those even when there is no overload. */
-  private static final double MIN_RESTRICTED_LEVEL = HedgingPolicy.OVERLOAD_LIMIT / 2;
+  /**
+   * Added to the overload level of a restricted placement, so that other requests avoid its
+   * endpoints to some extent even without overload.
+   */
+  private static final double RESTRICTED_PLACEMENT_BASE_LEVEL = HedgingPolicy.OVERLOAD_LIMIT / 2;
 
   private final PlacementGroup[] placementGroups;
   private final SlowStart slowStart;
@@ -57,16 +86,17 @@
     this.placementGroups = placementGroups;
     this.slowStart = slowStart;
     this.zone = settings.zone();
-    this.crossZonePenalty = CROSS_ZONE_GROWTH * Math.sqrt(settings.costs().crossZoneCost());
+    this.crossZonePenalty = CROSS_ZONE_PENALTY_FACTOR * Math.sqrt(settings.costs().crossZoneCost());
     this.connectionPenalty =
-        CONNECTION_COST_GROWTH
+        CONNECTION_PENALTY_FACTOR
             * (settings.costs().connectionCost() + settings.costs().handshakeCost());
   }
 
   /**
-   * The cost of an endpoint for a request.
+   * The cost in milliseconds of sending the request to the endpoint.
    *
-   * @param attemptsPerEndpoint decayed attempts that this instance knows for each ready endpoint
+   * @param attemptsPerEndpoint mean number of recent attempts of this instance per ready endpoint,
+   *     decayed as in {@link EndpointStatistics#attempts()}
    */
   double costMillis(
       EndpointStatistics endpoint,
@@ -77,8 +107,8 @@
     double successRate = endpoint.successRate(request.statistics().index());
     double cost = latencyWithFailuresMillis(endpoint, request, successRate);
     cost *= failureFactor(successRate);
-    cost *= 1 + IN_FLIGHT_GROWTH * endpoint.inFlightCount();
-    cost += overdueMillis(endpoint, now);
+    cost *= 1 + COST_INCREASE_PER_ATTEMPT_IN_FLIGHT * endpoint.inFlightCount();
+    cost += overdueCostMillis(endpoint, now);
     cost *= queueingFactor(endpoint, request);
     if (endpoint.listedEndpoint().zone() != zone) {
       cost *= 1 + crossZonePenalty;
@@ -86,11 +116,14 @@
     if (!endpoint.isInSubset()) {
       cost *= outsideSubsetFactor(attemptsPerEndpoint);
     }
-    cost = spareForRestrictedClasses(cost, endpoint, request);
+    cost = withRestrictedPlacementPenalty(cost, endpoint, request);
     return cost / slowStart.warmUpFraction(endpoint, now);
   }
 
-  /** Expected latency, and the objective for each failure to expect before an attempt succeeds. */
+  /**
+   * The expected latency, plus the latency objective for each failed attempt to expect before one
+   * succeeds.
+   */
   private static double latencyWithFailuresMillis(
       EndpointStatistics endpoint, InFlightRequest request, double successRate) {
     return endpoint.relativeLatency() * request.statistics().latencyMillis()
@@ -99,66 +132,84 @@
   }
 
   /**
-   * Offsets the cross-zone penalty for a failing endpoint: it fails at once and has nothing in
-   * flight, so it would look idle. A failure or two is not enough.
+   * Raises the cost of a failing endpoint enough to offset the cross-zone penalty of healthy ones.
+   * Without it, an endpoint that fails at once would have no attempts in flight and look idle. One
+   * or two failures are not enough to send requests to another zone.
    */
   private double failureFactor(double successRate) {
     return 1
         + crossZonePenalty
             * Math.min(
-                MAX_FAILURE_OFFSET,
-                Math.pow((1 - successRate) / CROSS_ZONE_FAILURE_RATE, CROSS_ZONE_OFFSET_POWER));
+                MAX_FAILURE_PENALTY_RATIO,
+                Math.pow(
+                    (1 - successRate) / CROSS_ZONE_FAILURE_RATE_LIMIT, CROSS_ZONE_OFFSET_EXPONENT));
   }
 
-  /** Shows a hang before its attempts time out. */
-  private static double overdueMillis(EndpointStatistics endpoint, double now) {
+  /**
+   * The cost of the time by which the oldest attempt in flight is overdue: it has been running for
+   * longer than {@link HedgingPolicy#slowAfterMillis}. Makes selection avoid an endpoint that hangs
+   * before the attempts at it time out.
+   */
+  private static double overdueCostMillis(EndpointStatistics endpoint, double now) {
     Attempt oldest = endpoint.oldestInFlight();
     if (oldest == null) {
       return 0;
     }
-    double overdue = now - oldest.sentAtMillis() - HedgingPolicy.slowAfterMillis(oldest.request());
-    return OVERDUE_WEIGHT * Math.max(0, overdue);
+    double overdueMillis =
+        now - oldest.sentAtMillis() - HedgingPolicy.slowAfterMillis(oldest.request());
+    return COST_PER_OVERDUE_MILLI * Math.max(0, overdueMillis);
   }
 
   /**
-   * Offsets the cross-zone penalty where a request would be late from queueing: otherwise all stay
-   * in a zone that is overloaded while others are idle.
+   * Raises the cost of an endpoint as its queueing delay approaches the latency objective, enough
+   * to offset the cross-zone penalty. Without it, all requests would stay in an overloaded zone
+   * while the endpoints of other zones are idle.
    */
   private double queueingFactor(EndpointStatistics endpoint, InFlightRequest request) {
-    double objectiveShare =
+    double delayToObjectiveRatio =
         queueingDelayMillis(endpoint, request) / request.requestClass().latencyObjectiveMillis();
-    return 1 + crossZonePenalty * Math.pow(objectiveShare, CROSS_ZONE_OFFSET_POWER);
+    return 1 + crossZonePenalty * Math.pow(delayToObjectiveRatio, CROSS_ZONE_OFFSET_EXPONENT);
   }
 
-  /** Few connections and much evidence for each: attempts keep to the subset at first. */
+  /**
+   * Keeps attempts in the subset while there is little evidence: that needs few connections and
+   * gives much evidence about each endpoint. What remains with much evidence is the penalty for the
+   * cost of connections.
+   */
   private double outsideSubsetFactor(double attemptsPerEndpoint) {
-    return 1 + OUTSIDE_SUBSET_GROWTH / Math.pow(1 + attemptsPerEndpoint, 2) + connectionPenalty;
+    return 1 + OUTSIDE_SUBSET_PENALTY / Math.pow(1 + attemptsPerEndpoint, 2) + connectionPenalty;
   }
 
-  /** Requests that may go elsewhere make room for those of a restricted placement. */
-  private double spareForRestrictedClasses(
+  /**
+   * Raises the cost of an endpoint for each restricted placement that includes it and is not the
+   * request's own, so that requests that may go elsewhere leave it to those that may not.
+   */
+  private double withRestrictedPlacementPenalty(
       double cost, EndpointStatistics endpoint, InFlightRequest request) {
     double increased = cost;
     for (PlacementGroup group : placementGroups) {
       if (group != request.statistics().placementGroup()
           && group.isRestricted()
           && group.allows(endpoint.listedEndpoint())) {
-        increased *= 1 + RESTRICTED_GROWTH * (MIN_RESTRICTED_LEVEL + group.overload().level());
+        increased *=
+            1
+                + RESTRICTED_PLACEMENT_PENALTY_FACTOR
+                    * (RESTRICTED_PLACEMENT_BASE_LEVEL + group.overload().level());
       }
     }
     return increased;
   }
 
   /**
-   * The latency to expect behind the attempts in flight, by Little's law: served latencies and the
-   * concurrency at their send tell the rate at which the endpoint works. It rises before any
-   * attempt is late.
+   * Estimates the latency of a request that is sent behind the attempts in flight, by Little's law:
+   * the latency of served attempts, divided by the concurrency when they were sent, gives the time
+   * that the endpoint needs for each. The estimate rises before any attempt is late.
    */
   static double queueingDelayMillis(EndpointStatistics endpoint, InFlightRequest request) {
-    double millisEach =
+    double millisPerAttempt =
         endpoint.relativeLatency()
             * request.expectedLatencyMillis()
             / (1 + Math.max(MIN_CONCURRENCY, endpoint.meanConcurrency()));
-    return millisEach * (1 + endpoint.inFlightCount());
+    return millisPerAttempt * (1 + endpoint.inFlightCount());
   }
 }
--- a/src/main/java/loadbalancer/policy/EndpointSelector.java
+++ b/src/main/java/loadbalancer/policy/EndpointSelector.java
@@ -4,8 +4,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Chooses the endpoint of an attempt: weighted random choice by 1/{@link EndpointCost} among the
- * eligible endpoints whose queueing delay is within the {@link QueueingLimit}.
+ * Selects the endpoint of an attempt at random among the eligible endpoints whose estimated
+ * queueing delay is within the {@link QueueingLimit}, with weights of 1/{@link EndpointCost}.
+ * Endpoints that are warming up get their attempts from {@link SlowStart} instead.
  */
 final class EndpointSelector {
 
@@ -16,7 +17,10 @@
   private final SplittableRandom random;
   private boolean queueingLimitReached;
 
-  /** From the selection before: decayed attempts for each ready endpoint. */
+  /**
+   * Mean of {@link EndpointStatistics#attempts()} over the ready endpoints, as of the previous
+   * selection.
+   */
   private double attemptsPerEndpoint;
 
   EndpointSelector(
@@ -32,14 +36,15 @@
     this.random = random;
   }
 
-  /** Whether the last selection left out an endpoint for its queueing delay. */
+  /** Whether the last selection excluded an eligible endpoint because of its queueing delay. */
   boolean queueingLimitReached() {
     return queueingLimitReached;
   }
 
   /**
-   * The endpoint for the next attempt of a request, or null if none may be used. One that it has
-   * tried is chosen only if there is no other and no attempt is running.
+   * Selects the endpoint for the next attempt of a request; null if none may be used. An endpoint
+   * that the request has already tried is selected only if there is no other and no attempt of the
+   * request is running.
    */
   EndpointStatistics select(InFlightRequest request, List<EndpointStatistics> ready, double now) {
     EndpointStatistics selected = select(request, ready, true, now);
@@ -50,47 +55,52 @@
 
   private EndpointStatistics select(
       InFlightRequest request, List<EndpointStatistics> ready, boolean untriedOnly, double now) {
-    weigh(request, ready, untriedOnly, now);
-    EndpointStatistics warming = slowStart.isActive(now) ? slowStart.select(ready, now) : null;
-    if (warming != null) {
-      return warming;
+    assignWeights(request, ready, untriedOnly, now);
+    EndpointStatistics warmingEndpoint =
+        slowStart.isActive(now) ? slowStart.select(ready, now) : null;
+    if (warmingEndpoint != null) {
+      return warmingEndpoint;
     }
     double totalWeight = ready.stream().mapToDouble(EndpointStatistics::weight).sum();
-    return draw(ready, random.nextDouble() * totalWeight);
+    return endpointAt(ready, random.nextDouble() * totalWeight);
   }
 
-  /** Sets the weight of each endpoint: 1/cost, or 0 if it may not be used. */
-  private void weigh(
+  /** Sets the weight of each endpoint: 1/cost, or 0 if the request may not be sent to it. */
+  private void assignWeights(
       InFlightRequest request, List<EndpointStatistics> ready, boolean untriedOnly, double now) {
     queueingLimitReached = false;
     double maxDelayMillis = queueingLimit.maxDelayMillis(request, now);
-    double attempts = 0;
+    double totalAttempts = 0;
     for (EndpointStatistics endpoint : ready) {
-      attempts += endpoint.attempts();
-      boolean usable =
+      totalAttempts += endpoint.attempts();
+      boolean eligible =
           eligibility.mayReceive(endpoint, request, now)
               && !(untriedOnly && request.hasTried(endpoint));
       boolean overLimit =
-          usable && EndpointCost.queueingDelayMillis(endpoint, request) > maxDelayMillis;
+          eligible && EndpointCost.queueingDelayMillis(endpoint, request) > maxDelayMillis;
       queueingLimitReached |= overLimit;
       endpoint.setWeight(
-          usable && !overLimit
+          eligible && !overLimit
               ? 1 / cost.costMillis(endpoint, request, attemptsPerEndpoint, now)
               : 0);
     }
-    attemptsPerEndpoint = attempts / Math.max(1, ready.size());
+    attemptsPerEndpoint = totalAttempts / Math.max(1, ready.size());
   }
 
-  /** The endpoint in whose part of the summed weights a point lies; null if all weights are 0. */
-  private static EndpointStatistics draw(List<EndpointStatistics> ready, double point) {
-    EndpointStatistics drawn = null;
-    double remaining = point;
+  /**
+   * The endpoint whose weight, added to those of the endpoints before it, exceeds the given
+   * cumulative weight; null if all weights are 0.
+   */
+  private static EndpointStatistics endpointAt(
+      List<EndpointStatistics> ready, double cumulativeWeight) {
+    EndpointStatistics selected = null;
+    double remaining = cumulativeWeight;
     for (EndpointStatistics endpoint : ready) {
       if (endpoint.weight() > 0 && remaining >= 0) {
-        drawn = endpoint;
+        selected = endpoint;
         remaining -= endpoint.weight();
       }
     }
-    return drawn;
+    return selected;
   }
 }
