--- a/src/main/java/loadbalancer/policy/EndpointEligibility.java
+++ b/src/main/java/loadbalancer/policy/EndpointEligibility.java
@@ -7,9 +7,9 @@
 import loadbalancer.model.RequestClass;
 
 /**
- * Whether a request may be sent to an endpoint at all: the limits on attempts, placement, and for a
- * repeat of an attempt that may have run, the endpoints and the time in which it has no second
- * effect.
+ * Decides whether a request may be sent to an endpoint at all. This depends on the limits on
+ * attempts, on the placement of the request class and, if an earlier attempt may have run, on
+ * whether the request may be repeated at this endpoint and time without a second effect.
  */
 final class EndpointEligibility {
 
@@ -31,26 +31,28 @@
   }
 
   private boolean mayRepeat(InFlightRequest request, Endpoint target, double now) {
-    Attempt first = request.firstAttemptThatMayHaveRun();
-    RequestClass type = request.requestClass();
-    if (first == null || type.idempotency() == Idempotency.IDEMPOTENT) {
+    Attempt firstAttempt = request.firstAttemptThatMayHaveRun();
+    RequestClass requestClass = request.requestClass();
+    if (firstAttempt == null || requestClass.idempotency() == Idempotency.IDEMPOTENT) {
       return true;
     }
-    // The repeat may start only after a connect timeout, which has to be within the window too.
-    return type.idempotency() == Idempotency.DEDUPLICATED
+    // Connecting may delay the repeat by up to the connect timeout; even then it has to be sent
+    // within the deduplication window.
+    return requestClass.idempotency() == Idempotency.DEDUPLICATED
         && now + limits.connectTimeoutMillis()
-            < first.sentAtMillis() + type.deduplicationWindowMillis()
-        && shareDeduplication(type.deduplicationScope(), first.endpoint().listedEndpoint(), target);
+            < firstAttempt.sentAtMillis() + requestClass.deduplicationWindowMillis()
+        && shareDeduplication(
+            requestClass.deduplicationScope(), firstAttempt.endpoint().listedEndpoint(), target);
   }
 
-  /** Whether the target knows the idempotency keys that the first endpoint has seen. */
+  /** Whether the target endpoint drops repeats of requests that the first endpoint has seen. */
   private static boolean shareDeduplication(
-      DeduplicationScope scope, Endpoint first, Endpoint target) {
+      DeduplicationScope scope, Endpoint firstEndpoint, Endpoint target) {
     if (scope == DeduplicationScope.ALL) {
       return true;
     }
     return scope == DeduplicationScope.ZONE
-        ? first.zone() == target.zone()
-        : first.deduplicationGroup() == target.deduplicationGroup();
+        ? firstEndpoint.zone() == target.zone()
+        : firstEndpoint.deduplicationGroup() == target.deduplicationGroup();
   }
 }
--- a/src/main/java/loadbalancer/policy/EndpointSubset.java
+++ b/src/main/java/loadbalancer/policy/EndpointSubset.java
@@ -6,18 +6,24 @@
 import java.util.SplittableRandom;
 
 /**
- * Deterministic subsetting: which ready endpoints an instance prefers.
+ * Deterministic subsetting: chooses the ready endpoints that an instance prefers.
  *
- * <p>Every stride-th endpoint in an order by zone and machine type, from the instance's own index
- * on: a subset is a small picture of all endpoints, and each endpoint is in as many subsets as the
- * others. Each round of instances shuffles anew, so that no two endpoints share all their clients.
+ * <p>The endpoints are ordered by zone and machine type, and an instance takes every stride-th one,
+ * with an offset that depends on its index. Each subset then has about the same mix of zones and
+ * machine types as the whole list, and each endpoint is in about the same number of subsets. A
+ * round is a sequence of as many instances as the stride, whose subsets together hold each endpoint
+ * once. Each round shuffles the endpoints of the same zone and machine type differently, so that no
+ * two endpoints are in the subsets of exactly the same instances.
  */
 final class EndpointSubset {
 
-  /** Enough to lose a few, few enough to have evidence of each. */
+  /**
+   * Size of a subset: large enough for a few endpoints to fail, and small enough for an instance to
+   * have recent evidence of each.
+   */
   private static final double TARGET_SIZE = 8;
 
-  /** Spreads the endpoint IDs among the seeds of a round. */
+  /** Multiplies the endpoint ID in the shuffle seed, so that most IDs and rounds differ in seed. */
   private static final int SEED_MULTIPLIER = 31;
 
   private final int instanceIndex;
@@ -27,12 +33,12 @@
     this.instanceIndex = instanceIndex;
   }
 
-  /** The number of instances whose subsets together have each ready endpoint once. */
+  /** The number of instances in a round: their subsets together hold each ready endpoint once. */
   int stride() {
     return stride;
   }
 
-  /** Chooses the subset anew. */
+  /** Chooses the subset again, after the list of ready endpoints has changed. */
   void update(List<EndpointStatistics> ready) {
     stride = (int) Math.max(1, ready.size() / TARGET_SIZE);
     long round = instanceIndex / stride;
