--- a/src/main/java/loadbalancer/policy/EndpointList.java
+++ b/src/main/java/loadbalancer/policy/EndpointList.java
@@ -8,7 +8,7 @@
 import loadbalancer.model.EndpointState;
 import loadbalancer.model.EndpointUpdateType;
 
-/** The endpoints that discovery lists, with the statistics of each, and those that are ready. */
+/** The endpoints that discovery lists, with the statistics of each. */
 final class EndpointList {
 
   private final Map<Long, EndpointStatistics> endpoints = new LinkedHashMap<>();
@@ -25,19 +25,22 @@
     this.slowStart = slowStart;
   }
 
-  /** The endpoints that accept requests, in the order in which they were listed. */
+  /** The endpoints that accept new requests, in the order of the list. */
   List<EndpointStatistics> ready() {
     return ready;
   }
 
-  /** Applies a full list or a change. Draining and removed endpoints stop being ready at once. */
+  /**
+   * Applies an update from discovery: a whole list or the endpoints that changed. Draining and
+   * removed endpoints are no longer ready from then on.
+   */
   void update(EndpointUpdateType type, List<Endpoint> updates, double now) {
-    Map<Long, EndpointStatistics> before = new LinkedHashMap<>(endpoints);
+    Map<Long, EndpointStatistics> previous = new LinkedHashMap<>(endpoints);
     if (type != EndpointUpdateType.DELTA) {
       endpoints.clear();
     }
     for (Endpoint update : updates) {
-      apply(update, before.get(update.id()), now);
+      apply(update, previous.get(update.id()), now);
     }
     ready =
         endpoints.values().stream()
@@ -45,27 +48,27 @@
             .toList();
   }
 
-  private void apply(Endpoint update, EndpointStatistics known, double now) {
+  private void apply(Endpoint update, EndpointStatistics previous, double now) {
     if (update.state() == EndpointState.REMOVED) {
       endpoints.remove(update.id());
-    } else if (known == null
-        || known.listedEndpoint().startedAtMillis() != update.startedAtMillis()) {
-      // A restarted endpoint is a new one: warming up, without evidence.
+    } else if (previous == null
+        || previous.listedEndpoint().startedAtMillis() != update.startedAtMillis()) {
+      // After a restart an endpoint warms up again, and what was known of it no longer applies.
       endpoints.put(update.id(), newEndpoint(update, now));
-      slowStart.endpointStarted(update);
+      slowStart.endpointAdded(update);
     } else {
-      known.setEndpoint(update);
-      endpoints.put(update.id(), known);
+      previous.setListedEndpoint(update);
+      endpoints.put(update.id(), previous);
     }
   }
 
-  private EndpointStatistics newEndpoint(Endpoint listed, double now) {
-    int machineType = Math.min(listed.machineType(), machineTypes.length - 1);
+  private EndpointStatistics newEndpoint(Endpoint endpoint, double now) {
+    int machineTypeIndex = Math.min(endpoint.machineType(), machineTypes.length - 1);
     return new EndpointStatistics(
-        listed,
-        machineTypes[machineType],
+        endpoint,
+        machineTypes[machineTypeIndex],
         requestClassCount,
         now,
-        slowStart.initialAccumulatedProbability(listed));
+        slowStart.initialAccumulatedProbability(endpoint));
   }
 }
--- a/src/main/java/loadbalancer/policy/EndpointStatistics.java
+++ b/src/main/java/loadbalancer/policy/EndpointStatistics.java
@@ -4,34 +4,39 @@
 import loadbalancer.model.Endpoint;
 
 /**
- * One listed endpoint and what this instance has seen of it: decayed evidence, no decisions.
+ * One listed endpoint and what this instance knows of it: its attempts in flight, the outcomes and
+ * latencies of finished attempts, and its state in the selection. Makes no decisions.
  *
- * <p>All sums decay exponentially, so that an endpoint that has recovered is tried again.
+ * <p>The counts and sums over finished attempts decay exponentially, so that an endpoint with a bad
+ * record is tried again and can show that it has recovered.
  */
 final class EndpointStatistics {
 
-  /** Time in which evidence decays to 1/e. */
+  /** Time constant of the decay: the time after which an attempt counts 1/e of its weight. */
   static final double EVIDENCE_DECAY_MILLIS = 8_000;
 
-  /** Decay is applied no more often than this: it saves processor time. */
-  private static final double DECAY_STEP_MILLIS = 200;
+  /** Shortest interval between two applications of the decay, to save processor time. */
+  private static final double MIN_DECAY_INTERVAL_MILLIS = 200;
 
-  /** Samples that the mean of the machine type counts for in an endpoint's relative latency. */
+  /**
+   * Weight, in samples, of the machine type's mean in the relative latency of an endpoint, and of a
+   * concurrency of 0 in its mean concurrency.
+   */
   private static final double LATENCY_PRIOR_SAMPLES = 2;
 
-  /** Attempts that the machine type's served share counts for in an endpoint's. */
+  /** Weight, in attempts, of the machine type's success rate in that of an endpoint. */
   private static final double MACHINE_TYPE_PRIOR_ATTEMPTS = 2;
 
-  /** Attempts that an endpoint's served share over all classes counts for in that of one class. */
+  /** Weight, in attempts, of the success rate over all request classes in that of one class. */
   private static final double ALL_CLASSES_PRIOR_ATTEMPTS = 1;
 
   private Endpoint listedEndpoint;
   private final MachineTypeStatistics machineType;
   private final ArrayDeque<Attempt> inFlight = new ArrayDeque<>();
-  private double latencySum;
-  private double latencyCount;
+  private double relativeLatencySum;
+  private double latencySamples;
   private double concurrencySum;
-  private double served;
+  private double servedAttempts;
   private double attempts;
   private final double[] servedByClass;
   private final double[] attemptsByClass;
@@ -40,7 +45,7 @@
   private double accumulatedProbability;
   private double connectionsFullUntilMillis = Double.NEGATIVE_INFINITY;
   private int consecutiveRejections;
-  private boolean late;
+  private boolean lastWasLate;
   private double latenessKnownAtMillis = Double.NEGATIVE_INFINITY;
   private double weight;
   private double decayedAtMillis;
@@ -50,12 +55,12 @@
       MachineTypeStatistics machineType,
       int requestClassCount,
       double now,
-      double accumulatedChance) {
+      double initialAccumulatedProbability) {
     this.listedEndpoint = endpoint;
     this.machineType = machineType;
     this.servedByClass = new double[requestClassCount];
     this.attemptsByClass = new double[requestClassCount];
-    this.accumulatedProbability = accumulatedChance;
+    this.accumulatedProbability = initialAccumulatedProbability;
     decayedAtMillis = now;
   }
 
@@ -63,8 +68,8 @@
     return listedEndpoint;
   }
 
-  void setEndpoint(Endpoint updated) {
-    listedEndpoint = updated;
+  void setListedEndpoint(Endpoint endpoint) {
+    listedEndpoint = endpoint;
   }
 
   // ---- Attempts in flight
@@ -86,91 +91,101 @@
     inFlight.remove(attempt);
   }
 
-  // ---- Evidence
+  // ---- Outcomes and latencies of finished attempts
 
-  /** Decays all evidence to the present. */
+  /** Brings the decay of all counts and sums up to date, unless that was done just before. */
   void decay(double now) {
-    if (now - decayedAtMillis < DECAY_STEP_MILLIS) {
+    if (now - decayedAtMillis < MIN_DECAY_INTERVAL_MILLIS) {
       return;
     }
-    double factor = Math.exp((decayedAtMillis - now) / EVIDENCE_DECAY_MILLIS);
-    latencySum *= factor;
-    latencyCount *= factor;
-    concurrencySum *= factor;
-    served *= factor;
-    attempts *= factor;
+    double decayFactor = Math.exp((decayedAtMillis - now) / EVIDENCE_DECAY_MILLIS);
+    relativeLatencySum *= decayFactor;
+    latencySamples *= decayFactor;
+    concurrencySum *= decayFactor;
+    servedAttempts *= decayFactor;
+    attempts *= decayFactor;
     for (int i = 0; i < attemptsByClass.length; i++) {
-      servedByClass[i] *= factor;
-      attemptsByClass[i] *= factor;
+      servedByClass[i] *= decayFactor;
+      attemptsByClass[i] *= decayFactor;
     }
     decayedAtMillis = now;
   }
 
-  void recordOutcome(int requestClass, boolean wasServed) {
+  void recordOutcome(int requestClassIndex, boolean wasServed) {
     machineType.recordOutcome(wasServed);
     attempts += 1;
-    attemptsByClass[requestClass] += 1;
+    attemptsByClass[requestClassIndex] += 1;
     if (wasServed) {
-      served += 1;
-      servedByClass[requestClass] += 1;
+      servedAttempts += 1;
+      servedByClass[requestClassIndex] += 1;
     }
   }
 
-  void recordLatency(double relative, int concurrencyAtSend) {
-    latencySum += relative;
-    latencyCount += 1;
+  /**
+   * Records the latency of a served attempt.
+   *
+   * @param relativeLatency its latency relative to the expected latency of its request class
+   * @param concurrencyAtSend this instance's other attempts in flight at the endpoint when it was
+   *     sent
+   */
+  void recordLatency(double relativeLatency, int concurrencyAtSend) {
+    relativeLatencySum += relativeLatency;
+    latencySamples += 1;
     concurrencySum += concurrencyAtSend;
-    machineType.recordLatency(relative);
+    machineType.recordLatency(relativeLatency);
   }
 
-  /** Ended attempts, decayed. */
+  /** Decayed number of finished attempts. */
   double attempts() {
     return attempts;
   }
 
-  /** Served latency relative to the mean of all endpoints. */
+  /** Mean latency of the served attempts relative to the mean over all endpoints. */
   double relativeLatency() {
-    return (latencySum + LATENCY_PRIOR_SAMPLES * machineType.relativeLatency())
-        / (latencyCount + LATENCY_PRIOR_SAMPLES);
+    return (relativeLatencySum + LATENCY_PRIOR_SAMPLES * machineType.relativeLatency())
+        / (latencySamples + LATENCY_PRIOR_SAMPLES);
   }
 
   /**
-   * Mean number of other attempts in flight when the served ones were sent, pooled with a few
-   * samples that found none.
+   * Mean number of this instance's other attempts in flight when the served ones were sent, pooled
+   * with {@link #LATENCY_PRIOR_SAMPLES} samples of 0.
    */
   double meanConcurrency() {
-    return concurrencySum / (latencyCount + LATENCY_PRIOR_SAMPLES);
+    return concurrencySum / (latencySamples + LATENCY_PRIOR_SAMPLES);
   }
 
-  /** Share of the attempts of a class that are served, 0 to 1. */
-  double successRate(int requestClass) {
-    double allClasses =
-        (served + MACHINE_TYPE_PRIOR_ATTEMPTS * machineType.servedShare())
+  /**
+   * Share, 0 to 1, of the attempts of a request class that are served, estimated from the attempts
+   * of that class, of all classes, and of the machine type.
+   */
+  double successRate(int requestClassIndex) {
+    double allClassesRate =
+        (servedAttempts + MACHINE_TYPE_PRIOR_ATTEMPTS * machineType.successRate())
             / (attempts + MACHINE_TYPE_PRIOR_ATTEMPTS);
-    return (servedByClass[requestClass] + ALL_CLASSES_PRIOR_ATTEMPTS * allClasses)
-        / (attemptsByClass[requestClass] + ALL_CLASSES_PRIOR_ATTEMPTS);
+    return (servedByClass[requestClassIndex] + ALL_CLASSES_PRIOR_ATTEMPTS * allClassesRate)
+        / (attemptsByClass[requestClassIndex] + ALL_CLASSES_PRIOR_ATTEMPTS);
   }
 
-  // ---- Signs of overload
+  // ---- Overload detection
 
   void recordLateness(boolean wasLate, double now) {
-    late = wasLate;
+    lastWasLate = wasLate;
     latenessKnownAtMillis = now;
   }
 
-  /** Whether the last attempt that was judged for overload was late. */
+  /** Whether the last attempt that counted for or against overload was late. */
   boolean wasLate() {
-    return late;
+    return lastWasLate;
   }
 
-  /** When that attempt was judged; negative infinity if never. */
+  /** When that attempt was counted, in milliseconds; negative infinity if there is none. */
   double latenessKnownAtMillis() {
     return latenessKnownAtMillis;
   }
 
   // ---- Rejections and connections
 
-  /** Rejected or unconnected attempts since the last one that was served. */
+  /** Number of rejected attempts and failed connects since the last served attempt. */
   int consecutiveRejections() {
     return consecutiveRejections;
   }
@@ -183,7 +198,7 @@
     consecutiveRejections = 0;
   }
 
-  /** Until when it is taken to accept no more connections. */
+  /** The time until which the endpoint is assumed to accept no further connections. */
   double connectionsFullUntilMillis() {
     return connectionsFullUntilMillis;
   }
@@ -194,15 +209,19 @@
 
   // ---- Selection
 
+  /** Whether the endpoint is in the {@link EndpointSubset} that this instance prefers. */
   boolean isInSubset() {
     return inSubset;
   }
 
-  void setInSubset(boolean preferred) {
-    inSubset = preferred;
+  void setInSubset(boolean isInSubset) {
+    inSubset = isInSubset;
   }
 
-  /** Its weight in the selection under way; also the sort key while the subset is chosen. */
+  /**
+   * The weight of the endpoint in the current selection. {@link EndpointSubset} uses it as a sort
+   * key while it chooses the subset.
+   */
   double weight() {
     return weight;
   }
@@ -211,7 +230,10 @@
     weight = newWeight;
   }
 
-  /** Attempts, as a fraction of one, that it may still be given for the latest request. */
+  /**
+   * What is left of the budget that the last arriving request has granted to the endpoint while it
+   * warms up, as a fraction of an attempt.
+   */
   double warmUpBudget() {
     return warmUpBudget;
   }
@@ -220,19 +242,22 @@
     warmUpBudget = budget;
   }
 
-  /** Sum of its selection probabilities while warming up, less the attempts sent. */
+  /** Sum of the selection probabilities during warm-up, less the attempts sent for them. */
   double accumulatedProbability() {
     return accumulatedProbability;
   }
 
-  /** Takes it out of the selection under way; the probability counts towards its next attempt. */
+  /**
+   * Excludes the endpoint from the current selection, and moves the given selection probability
+   * from its budget to its accumulated probability.
+   */
   void spendWarmUpBudget(double probability) {
     warmUpBudget -= probability;
     accumulatedProbability += probability;
     weight = 0;
   }
 
-  /** An attempt is sent to it for the accumulated probability. */
+  /** Subtracts one attempt, which is being sent, from the accumulated probability. */
   void subtractAttempt() {
     accumulatedProbability -= 1;
   }
--- a/src/main/java/loadbalancer/policy/ExponentialMovingAverage.java
+++ b/src/main/java/loadbalancer/policy/ExponentialMovingAverage.java
@@ -1,16 +1,19 @@
 package loadbalancer.policy;
 
-/** An average whose gain falls from one half to a constant, so that the first samples count. */
+/**
+ * An exponential moving average. Its gain falls from one half to a constant minimum, so that the
+ * first few samples have more weight and the initial value has less.
+ */
 final class ExponentialMovingAverage {
 
-  private static final double FIRST_GAIN = 0.5;
+  private static final double INITIAL_GAIN = 0.5;
 
   private final double minGain;
   private double value;
-  private double gain = FIRST_GAIN;
+  private double gain = INITIAL_GAIN;
 
-  ExponentialMovingAverage(double initial, double minGain) {
-    value = initial;
+  ExponentialMovingAverage(double initialValue, double minGain) {
+    value = initialValue;
     this.minGain = minGain;
   }
 
--- a/src/main/java/loadbalancer/policy/MachineTypeStatistics.java
+++ b/src/main/java/loadbalancer/policy/MachineTypeStatistics.java
@@ -1,24 +1,27 @@
 package loadbalancer.policy;
 
-/** Evidence about a machine type: mean relative latency and share of attempts served. */
+/**
+ * Moving averages of the relative latency and the success rate over all endpoints of a machine
+ * type.
+ */
 final class MachineTypeStatistics {
 
   private final ExponentialMovingAverage relativeLatency;
-  private final ExponentialMovingAverage servedShare;
+  private final ExponentialMovingAverage successRate;
 
   MachineTypeStatistics(double minGain) {
     relativeLatency = new ExponentialMovingAverage(1, minGain);
-    servedShare = new ExponentialMovingAverage(1, minGain);
+    successRate = new ExponentialMovingAverage(1, minGain);
   }
 
-  /** Latency of its endpoints relative to what was expected. */
+  /** Mean latency of served attempts relative to the expected latency of their request class. */
   double relativeLatency() {
     return relativeLatency.value();
   }
 
-  /** Share of the attempts at its endpoints that were served, 0 to 1. */
-  double servedShare() {
-    return servedShare.value();
+  /** Share, 0 to 1, of the attempts at endpoints of this type that were served. */
+  double successRate() {
+    return successRate.value();
   }
 
   void recordLatency(double relative) {
@@ -26,6 +29,6 @@
   }
 
   void recordOutcome(boolean served) {
-    servedShare.add(served ? 1 : 0);
+    successRate.add(served ? 1 : 0);
   }
 }
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -8,27 +8,41 @@
 import loadbalancer.model.PolicySettings;
 
 /**
- * Limits what warming endpoints are sent: they collapse at a multiple of their present capacity.
+ * Limits the attempts that are sent to endpoints while they warm up. Such an endpoint collapses
+ * under a load of {@link loadbalancer.model.RuleSettings#collapseMultiple()} times its present
+ * capacity.
  *
- * <p>Budget: every arriving request gives each warming endpoint that it may go to a fraction of an
- * attempt, warmUpFraction x collapse multiple x {@link #COLLAPSE_BUDGET_SHARE} / warm capacity. It
- * replaces the budget before, since budgets saved by many instances would be spent on one endpoint
- * at once when others fail. Arrivals count, not attempts: endpoints that all start at once get
- * some.
+ * <p>Budget: each arriving request sets the budget of every warming endpoint that it may go to, as
+ * a fraction of an attempt: its warm-up fraction x the collapse multiple x {@link
+ * #COLLAPSE_BUDGET_SHARE} / the sum of the warm-up fractions of all endpoints that the request may
+ * go to. The budget replaces that of the previous request and does not add to it: otherwise many
+ * instances would spend what they have saved on one endpoint at once when the others fail. It is
+ * granted for each request that arrives and not for each attempt, so that endpoints get attempts
+ * even if all of them start at once.
  *
- * <p>Systematic sampling: the probabilities with which an endpoint would have been selected add up,
- * and it gets an attempt when they reach 1. Its load then depends on the traffic of all instances
- * and not on how many they are.
+ * <p>Systematic sampling: an endpoint accumulates the probabilities with which it would have been
+ * selected, and is sent an attempt when the sum reaches 1. Its load then depends on the traffic of
+ * all instances together and not on their number.
  */
 final class SlowStart {
 
-  /** Share of the multiple at which an endpoint collapses that its budget uses. */
+  /**
+   * Share, 0 to 1, of the load at which an endpoint collapses that its budget allows when the
+   * arriving requests need the full present capacity of all endpoints.
+   */
   private static final double COLLAPSE_BUDGET_SHARE = 0.3;
 
-  /** At least open endpoints / this count as warm, which limits the budget when none is. */
-  private static final double MIN_WARM_DIVISOR = 2.0;
+  /**
+   * Lower bound of the present capacity that the budgets are divided by: the capacity that the
+   * allowed endpoints have once warm, divided by this. It limits the budgets while all endpoints
+   * are warming up.
+   */
+  private static final double MIN_CAPACITY_DIVISOR = 2.0;
 
-  /** Halves the shift of budget into the subset, as one instance may have most of the traffic. */
+  /**
+   * Halves the increase of the budgets within the subset: an instance with most of the traffic
+   * would otherwise overload the warming endpoints of its subset.
+   */
   private static final double SUBSET_SHIFT_DIVISOR = 2.0;
 
   private final PolicySettings settings;
@@ -38,8 +52,8 @@
     this.settings = settings;
   }
 
-  /** An endpoint is listed that has started at a known time. */
-  void endpointStarted(Endpoint endpoint) {
+  /** Extends the time in which slow start is active by the warm-up of a newly listed endpoint. */
+  void endpointAdded(Endpoint endpoint) {
     if (endpoint.startedAtMillis() != 0) {
       warmUpEndsAtMillis =
           Math.max(
@@ -47,74 +61,83 @@
     }
   }
 
-  /** Whether an endpoint may be warming up. */
+  /** Whether any endpoint may still be warming up. */
   boolean isActive(double now) {
     return now < warmUpEndsAtMillis;
   }
 
-  /** The share of its capacity, 0 to 1, that an endpoint has; it grows evenly over the warm-up. */
+  /**
+   * The present capacity of an endpoint as a share, 0 to 1, of its capacity once warm. It grows
+   * linearly over the warm-up and is 1 if the start of the endpoint is unknown or long ago.
+   */
   double warmUpFraction(EndpointStatistics endpoint, double now) {
     double startedAt = endpoint.listedEndpoint().startedAtMillis();
-    double age = now - startedAt;
-    if (startedAt == 0 || age >= settings.rules().warmUpMillis()) {
+    double uptimeMillis = now - startedAt;
+    if (startedAt == 0 || uptimeMillis >= settings.rules().warmUpMillis()) {
       return 1;
     }
-    double initial = settings.rules().initialCapacity();
-    return initial + (1 - initial) * Math.max(0, age) / settings.rules().warmUpMillis();
+    double initialFraction = settings.rules().initialCapacity();
+    return initialFraction
+        + (1 - initialFraction) * Math.max(0, uptimeMillis) / settings.rules().warmUpMillis();
   }
 
   /**
-   * The accumulated probability that a new endpoint begins with, 0 to 1: evenly spaced over the
-   * instances, so that they do not all send to it at once.
+   * The accumulated probability, 0 to 1, that a new endpoint begins with. The values of the
+   * instances are evenly spaced, from an offset that depends on the endpoint ID, so that the
+   * instances do not all send their first attempt at once.
    */
   double initialAccumulatedProbability(Endpoint endpoint) {
-    double first =
+    double unwrapped =
         new SplittableRandom(endpoint.id()).nextDouble()
             + (double) settings.instanceIndex() / Math.max(1, settings.instanceCount());
-    return first % 1;
+    return unwrapped % 1;
   }
 
   /**
-   * Sets the budget of the endpoints that an arriving request may go to. Where the instance prefers
-   * a subset, part of the budget moves into it, as the rest would lapse; over all instances the sum
-   * is the same.
+   * Sets the budgets of the endpoints that an arriving request may go to. If the instance prefers a
+   * subset, the budgets are raised within it and lowered outside, where they would mostly go
+   * unused; the sum of an endpoint's budgets over all instances stays the same.
    */
   void grantBudget(
       InFlightRequest request, List<EndpointStatistics> ready, int subsetStride, double now) {
     if (!isActive(now)) {
       return;
     }
-    List<EndpointStatistics> open =
+    List<EndpointStatistics> allowed =
         ready.stream()
             .filter(endpoint -> request.requestClass().allows(endpoint.listedEndpoint()))
             .toList();
-    double warm = open.stream().mapToDouble(endpoint -> warmUpFraction(endpoint, now)).sum();
-    double part =
+    double presentCapacity =
+        allowed.stream().mapToDouble(endpoint -> warmUpFraction(endpoint, now)).sum();
+    double budgetPerCapacity =
         Math.min(1, COLLAPSE_BUDGET_SHARE * settings.rules().collapseMultiple())
-            / Math.max(warm, open.size() / MIN_WARM_DIVISOR);
-    double inside =
+            / Math.max(presentCapacity, allowed.size() / MIN_CAPACITY_DIVISOR);
+    double insideFactor =
         1
             + (Math.min(subsetStride, settings.instanceCount()) - 1)
                 / SUBSET_SHIFT_DIVISOR
-                * warm
-                / open.size();
-    double outside = (subsetStride - inside) / Math.max(1, subsetStride - 1);
-    open.forEach(
+                * presentCapacity
+                / allowed.size();
+    double outsideFactor = (subsetStride - insideFactor) / Math.max(1, subsetStride - 1);
+    allowed.forEach(
         endpoint ->
             endpoint.setWarmUpBudget(
-                part * warmUpFraction(endpoint, now) * (endpoint.isInSubset() ? inside : outside)));
+                budgetPerCapacity
+                    * warmUpFraction(endpoint, now)
+                    * (endpoint.isInSubset() ? insideFactor : outsideFactor)));
   }
 
   /**
-   * Takes the warming endpoints out of a selection. Each accumulates its probability, which is in
-   * proportion to its weight but at most its budget.
+   * Excludes the warming endpoints from the random selection by setting their weight to 0. Each
+   * accumulates the probability with which it would have been selected, but at most its budget.
    *
-   * @return the endpoint whose accumulated probability has reached 1, the highest one; or null
+   * @return the endpoint with the highest accumulated probability, if that has reached 1; otherwise
+   *     null
    */
   EndpointStatistics select(List<EndpointStatistics> ready, double now) {
     List<EndpointStatistics> warming = new ArrayList<>(ready);
     warming.removeIf(endpoint -> endpoint.weight() == 0 || warmUpFraction(endpoint, now) >= 1);
-    double probabilityPerWeight = spendWithinBudgets(warming, ready);
+    double probabilityPerWeight = spendExceededBudgets(warming, ready);
     for (EndpointStatistics endpoint : warming) {
       endpoint.spendWarmUpBudget(
           endpoint.weight() > 0 ? probabilityPerWeight * endpoint.weight() : 0);
@@ -131,27 +154,29 @@
   }
 
   /**
-   * Takes out the endpoints whose budget is less than their probability, until none is left.
+   * Spends the whole budget of each warming endpoint whose selection probability exceeds it, and
+   * excludes it from the selection. That raises the probabilities of the others, so it is repeated
+   * until no further endpoint exceeds its budget.
    *
-   * @return the probability for each unit of weight that is left to the others
+   * @return the selection probability of the remaining endpoints for each unit of weight
    */
-  private static double spendWithinBudgets(
+  private static double spendExceededBudgets(
       List<EndpointStatistics> warming, List<EndpointStatistics> ready) {
-    double remaining = 1;
+    double remainingProbability = 1;
     double probabilityPerWeight;
-    boolean limited;
+    boolean excludedAny;
     do {
       probabilityPerWeight =
-          remaining / ready.stream().mapToDouble(EndpointStatistics::weight).sum();
-      limited = false;
+          remainingProbability / ready.stream().mapToDouble(EndpointStatistics::weight).sum();
+      excludedAny = false;
       for (EndpointStatistics endpoint : warming) {
         if (endpoint.warmUpBudget() < probabilityPerWeight * endpoint.weight()) {
-          remaining = Math.max(0, remaining - endpoint.warmUpBudget());
+          remainingProbability = Math.max(0, remainingProbability - endpoint.warmUpBudget());
           endpoint.spendWarmUpBudget(endpoint.warmUpBudget());
-          limited = true;
+          excludedAny = true;
         }
       }
-    } while (limited);
+    } while (excludedAny);
     return probabilityPerWeight;
   }
 }
