--- a/src/main/java/loadbalancer/proxy/upstream/ConnectTimeEstimate.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ConnectTimeEstimate.java
@@ -3,46 +3,48 @@
 import java.util.OptionalDouble;
 
 /**
- * The median time in which connections are established, and the delay after which a late connect is
- * retried: one lost or late handshake would otherwise cost the full connect timeout. Confined to
- * the event loop.
+ * Estimates the median time to connect to an endpoint, and derives the delay after which a pending
+ * connect is retried with a second one. Without the retry, a single lost or delayed handshake
+ * packet would hold up the attempt until the connect timeout. Used on the event loop thread only.
  */
 final class ConnectTimeEstimate {
 
-  /** The retry delay as a multiple of the median, before its bounds apply. */
-  private static final double RETRY_DELAY_PER_MEDIAN = 4;
+  /** The retry delay as a multiple of the median connect time, before its bounds apply. */
+  private static final double RETRY_DELAY_MEDIAN_MULTIPLE = 4;
 
   private static final double MIN_RETRY_DELAY_MILLIS = 10;
 
-  /** The largest retry delay as a share of the connect timeout. */
-  private static final double MAX_RETRY_DELAY_SHARE = 0.25;
+  /** The largest retry delay as a fraction of the connect timeout. */
+  private static final double MAX_RETRY_DELAY_TIMEOUT_FRACTION = 0.25;
 
-  /** Relative step by which one observation moves the median. */
-  private static final double MEDIAN_STEP = 0.1;
+  /** The fraction of itself by which each measurement raises or lowers the estimated median. */
+  private static final double MEDIAN_STEP_FRACTION = 0.1;
 
   private final double maxRetryDelayMillis;
   private double medianMillis;
 
   /**
-   * Starts with the given median.
+   * Creates an estimate that no measurement has changed yet.
    *
-   * @param timeoutMillis the connect timeout
-   * @param initialMedianMillis the first estimate; if empty, the one with the largest retry delay
+   * @param connectTimeoutMillis the connect timeout
+   * @param initialMedianMillis the initial median; if empty, the one that gives the largest retry
+   *     delay
    */
-  ConnectTimeEstimate(double timeoutMillis, OptionalDouble initialMedianMillis) {
-    maxRetryDelayMillis = timeoutMillis * MAX_RETRY_DELAY_SHARE;
-    medianMillis = initialMedianMillis.orElse(maxRetryDelayMillis / RETRY_DELAY_PER_MEDIAN);
+  ConnectTimeEstimate(double connectTimeoutMillis, OptionalDouble initialMedianMillis) {
+    maxRetryDelayMillis = connectTimeoutMillis * MAX_RETRY_DELAY_TIMEOUT_FRACTION;
+    medianMillis = initialMedianMillis.orElse(maxRetryDelayMillis / RETRY_DELAY_MEDIAN_MULTIPLE);
   }
 
-  /** Takes in how many milliseconds a connection took to be established. */
-  void observe(double connectMillis) {
-    medianMillis *= 1 + (connectMillis > medianMillis ? MEDIAN_STEP : -MEDIAN_STEP);
+  /** Updates the estimate with the time that one successful connect took. */
+  void recordConnectTime(double connectMillis) {
+    medianMillis *=
+        1 + (connectMillis > medianMillis ? MEDIAN_STEP_FRACTION : -MEDIAN_STEP_FRACTION);
   }
 
-  /** Milliseconds to wait for a connection before the connect is retried. */
+  /** How long a connect may be pending before it is retried, in milliseconds. */
   double retryDelayMillis() {
     return Math.min(
         maxRetryDelayMillis,
-        Math.max(MIN_RETRY_DELAY_MILLIS, RETRY_DELAY_PER_MEDIAN * medianMillis));
+        Math.max(MIN_RETRY_DELAY_MILLIS, RETRY_DELAY_MEDIAN_MULTIPLE * medianMillis));
   }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/ConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ConnectionPool.java
@@ -10,55 +10,59 @@
 import loadbalancer.proxy.discovery.EndpointListUpdate.Entry;
 import loadbalancer.proxy.eventloop.Clock;
 
-/** The endpoints and their idle connections. Confined to the event loop. */
+/** The known endpoints and the idle connections to each. Used on the event loop thread only. */
 final class ConnectionPool {
 
-  /** The share of the endpoints' idle timeout after which a connection is closed from this side. */
-  private static final double IDLE_TIMEOUT_SHARE = 0.7;
+  /**
+   * The fraction of the endpoints' idle timeout after which this instance closes an idle
+   * connection, so that the endpoint doesn't close it while a request is on its way.
+   */
+  private static final double MAX_IDLE_TIMEOUT_FRACTION = 0.7;
 
-  /** A removed endpoint is remembered for so many times the drain grace. */
-  private static final double REMOVED_MEMORY_PER_DRAIN_GRACE = 2;
+  /** How long a removed endpoint stays in the pool, as a multiple of the drain grace. */
+  private static final double REMOVED_RETENTION_DRAIN_GRACES = 2;
 
   private final Clock clock;
   private final double maxIdleMillis;
   private final double drainGraceMillis;
   private final Map<Long, UpstreamEndpoint> endpoints = new HashMap<>();
-  private IdleConnectionTrust trust;
+  private IdleReuseLimit reuseLimit;
   private double reuseDelayMillis;
 
   ConnectionPool(Clock clock, PolicySettings settings, UpstreamClientOptions options) {
     this.clock = clock;
-    maxIdleMillis = IDLE_TIMEOUT_SHARE * settings.limits().idleTimeoutMillis();
+    maxIdleMillis = MAX_IDLE_TIMEOUT_FRACTION * settings.limits().idleTimeoutMillis();
     drainGraceMillis = settings.rules().drainGraceMillis();
     useOptions(options);
   }
 
-  /** Replaces the options, and forgets past resets. */
+  /** Replaces the options and discards the recorded resets. */
   void useOptions(UpstreamClientOptions options) {
-    trust = new IdleConnectionTrust(maxIdleMillis, options.freshIdleMillis());
+    reuseLimit = new IdleReuseLimit(maxIdleMillis, options.freshIdleMillis());
     reuseDelayMillis = options.reuseDelayMillis();
   }
 
-  /** What resets and responses on reused connections are recorded with. */
-  IdleConnectionTrust trust() {
-    return trust;
+  /** Records the resets of and the responses on reused connections. */
+  IdleReuseLimit reuseLimit() {
+    return reuseLimit;
   }
 
-  /** Takes in a list; see {@link UpstreamClient#updateEndpoints}. */
-  void updateEndpoints(EndpointListUpdate update, double notifiedAt) {
-    Map<Long, UpstreamEndpoint> unlisted = new HashMap<>(update.full() ? endpoints : Map.of());
+  /** Applies an update of the endpoint list; see {@link UpstreamClient#updateEndpoints}. */
+  void updateEndpoints(EndpointListUpdate update, double notifiedAtMillis) {
+    Map<Long, UpstreamEndpoint> unlistedEndpoints =
+        new HashMap<>(update.full() ? endpoints : Map.of());
     for (Entry entry : update.entries()) {
       long id = entry.endpoint().id();
-      unlisted.remove(id);
+      unlistedEndpoints.remove(id);
       if (entry.endpoint().state() != EndpointState.REMOVED) {
         endpoints
             .computeIfAbsent(id, key -> new UpstreamEndpoint(entry, drainGraceMillis))
-            .update(entry, notifiedAt);
+            .update(entry, notifiedAtMillis);
       } else if (endpoints.containsKey(id)) {
-        endpoints.get(id).remove(notifiedAt);
+        endpoints.get(id).remove(notifiedAtMillis);
       }
     }
-    unlisted.values().forEach(endpoint -> endpoint.remove(notifiedAt));
+    unlistedEndpoints.values().forEach(endpoint -> endpoint.remove(notifiedAtMillis));
   }
 
   Optional<UpstreamEndpoint> find(long endpointId) {
@@ -66,20 +70,23 @@
   }
 
   /**
-   * Takes the most recently used connection that may be reused out of the pool, if there is one.
+   * Takes a connection to an endpoint out of the pool: the one that became idle last, of those
+   * whose reuse delay has passed. Empty if there is none or it has been idle for too long.
+   *
+   * @param retryable whether the policy may retry the request that the connection is for
    */
   Optional<UpstreamConnection> acquire(UpstreamEndpoint endpoint, boolean retryable) {
     double now = clock.now();
     Iterator<UpstreamConnection> newestFirst = endpoint.newestIdleFirst();
     while (newestFirst.hasNext()) {
       UpstreamConnection connection = newestFirst.next();
-      double idleMillis = now - connection.idleSince();
+      double idleMillis = now - connection.idleSinceMillis();
       if (idleMillis < reuseDelayMillis) {
         continue;
       }
-      if (!trust.trusts(idleMillis, retryable)) {
-        // The others have been idle for longer. A new connection replaces one of them, so that
-        // idle connections don't accumulate.
+      if (!reuseLimit.allowsReuse(idleMillis, retryable)) {
+        // The remaining connections have been idle for even longer. One of them is closed, since
+        // the caller opens a new connection and idle ones would otherwise accumulate.
         endpoint.closeLongestIdle();
         return Optional.empty();
       }
@@ -92,8 +99,8 @@
   }
 
   /**
-   * Keeps a connection for the next request, or closes it if the endpoint is not ready or was
-   * replaced.
+   * Returns a connection to the pool. It is closed instead if the endpoint is not ready, or if
+   * another process has taken the endpoint's place since the connection was opened.
    */
   void release(UpstreamConnection connection, UpstreamEndpoint endpoint) {
     connection.detach(endpoint);
@@ -106,23 +113,24 @@
   }
 
   /**
-   * To be called once a second with the present time: closes what has been idle for too long and
-   * forgets endpoints that were removed long ago.
+   * Closes the connections that have been idle for too long and discards the endpoints whose
+   * retention after removal has ended. To be called once a second with the current time.
    */
   void sweep(double now) {
     for (UpstreamEndpoint endpoint : endpoints.values()) {
       endpoint.closeIdleSinceBefore(now - maxIdleMillis);
     }
-    double removedBefore = now - REMOVED_MEMORY_PER_DRAIN_GRACE * drainGraceMillis;
-    endpoints.values().removeIf(endpoint -> endpoint.isForgettable(removedBefore));
+    double removedBeforeMillis = now - REMOVED_RETENTION_DRAIN_GRACES * drainGraceMillis;
+    endpoints.values().removeIf(endpoint -> endpoint.isDiscardable(removedBeforeMillis));
   }
 
-  /** Closes the connection that has been idle for longest; false if there is none. */
+  /** Closes the connection that has been idle for longest; returns false if none is idle. */
   boolean evictLongestIdle() {
     UpstreamEndpoint longestIdle = null;
     for (UpstreamEndpoint endpoint : endpoints.values()) {
       if (endpoint.hasIdleConnection()
-          && (longestIdle == null || endpoint.oldestIdleSince() < longestIdle.oldestIdleSince())) {
+          && (longestIdle == null
+              || endpoint.longestIdleSinceMillis() < longestIdle.longestIdleSinceMillis())) {
         longestIdle = endpoint;
       }
     }
@@ -133,7 +141,7 @@
     return true;
   }
 
-  /** How many endpoints are remembered. */
+  /** The number of known endpoints, with the removed ones that are not yet discarded. */
   int endpointCount() {
     return endpoints.size();
   }
--- a/src/main/java/loadbalancer/proxy/upstream/ForwardedRequest.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ForwardedRequest.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import loadbalancer.proxy.protocol.ProtocolHeaders;
 
-/** Builds the request that an endpoint receives from the request of a client. Stateless. */
+/** Builds the request that is sent to an endpoint from the client's request. Stateless. */
 final class ForwardedRequest {
 
-  /** The end-to-end headers that are forwarded; all others concern the client's connection only. */
+  /** The headers that are forwarded. All others concern only the client's connection. */
   private static final List<String> FORWARDED_HEADERS =
       List.of(
           ProtocolHeaders.REQUEST_ID,
@@ -25,10 +25,12 @@
   private ForwardedRequest() {}
 
   /**
-   * Returns a request to write to an endpoint; it shares the body, retained, with the client's.
+   * Returns the request to write to an endpoint. It shares the body of the client's request and
+   * holds its own reference to it.
    *
+   * @param request the client's request
    * @param host the endpoint's host
-   * @param remainingMillis the time that is left for the attempt
+   * @param remainingMillis the time until the attempt times out
    */
   static FullHttpRequest create(FullHttpRequest request, String host, double remainingMillis) {
     FullHttpRequest forwarded =
@@ -47,14 +49,16 @@
     if (forwarded.content().isReadable() || forwarded.method().equals(HttpMethod.POST)) {
       forwarded.headers().set("Content-Length", forwarded.content().readableBytes());
     }
-    // Rounded down: the endpoint must not assume more time than is left.
+    // formatSeconds rounds down, so that the endpoint doesn't assume more time than is left.
     forwarded
         .headers()
         .set(ProtocolHeaders.REMAINING_TIME, ProtocolHeaders.formatSeconds(remainingMillis));
     return forwarded;
   }
 
-  /** Whether the policy may retry the request after an attempt that may have run. */
+  /**
+   * Whether the policy may retry the request after an attempt that the endpoint may have executed.
+   */
   static boolean isRetryable(FullHttpRequest request) {
     return !request.method().equals(HttpMethod.POST)
         || request.headers().contains(ProtocolHeaders.IDEMPOTENCY_KEY);
--- a/src/main/java/loadbalancer/proxy/upstream/LoadReportParser.java
+++ b/src/main/java/loadbalancer/proxy/upstream/LoadReportParser.java
@@ -10,37 +10,41 @@
 
   private static final String FORMAT_PREFIX = "TEXT";
 
-  /** A larger value is a malformed one. */
+  /** A report with a larger value counts as malformed. */
   private static final double MAX_VALUE = 1e9;
 
   private LoadReportParser() {}
 
   /**
-   * Returns the values of the given fields, in their order and in the endpoint's own units; null
-   * unless the text holds every field with a value from 0 to 10^9.
+   * Returns the values of the given fields, in the order of {@code fieldNames} and in the units
+   * that the endpoint uses.
+   *
+   * @return null if the report is null, a field is missing, or a value is not a number from 0 to
+   *     10^9
    */
-  public static double[] parse(String text, List<String> fields) {
-    if (text == null || fields.isEmpty()) {
+  public static double[] parse(String report, List<String> fieldNames) {
+    if (report == null || fieldNames.isEmpty()) {
       return null;
     }
-    double[] values = new double[fields.size()];
+    double[] values = new double[fieldNames.size()];
     Arrays.fill(values, Double.NaN);
-    String pairs = text.strip();
+    String pairs = report.strip();
     if (pairs.startsWith(FORMAT_PREFIX)) {
       pairs = pairs.substring(FORMAT_PREFIX.length());
     }
     for (String pair : pairs.split(",")) {
-      int equals = pair.indexOf('=');
-      int field = equals < 0 ? -1 : fields.indexOf(pair.substring(0, equals).strip());
-      if (field >= 0) {
+      int equalsIndex = pair.indexOf('=');
+      int fieldIndex =
+          equalsIndex < 0 ? -1 : fieldNames.indexOf(pair.substring(0, equalsIndex).strip());
+      if (fieldIndex >= 0) {
         try {
-          values[field] = Double.parseDouble(pair.substring(equals + 1).strip());
+          values[fieldIndex] = Double.parseDouble(pair.substring(equalsIndex + 1).strip());
         } catch (NumberFormatException e) {
           return null;
         }
       }
     }
-    // A missing field is still NaN, which is out of range too.
+    // The value of a missing field is still NaN, which fails the range check too.
     return Arrays.stream(values).allMatch(value -> value >= 0 && value <= MAX_VALUE)
         ? values
         : null;
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseStallDetector.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseStallDetector.java
@@ -5,62 +5,74 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Notices a response that has begun and makes no progress, or too little: endpoints write a
- * response at once, so one that stays incomplete will not be complete in time. Confined to the
- * event loop.
+ * Detects a response that has begun and then stalls or progresses too slowly. Endpoints write a
+ * response in one go, so one that stays incomplete is not expected to be complete before the
+ * deadline. Used on the event loop thread only.
  */
 final class ResponseStallDetector {
 
-  /** A response that has begun must make progress in each such interval. */
+  /** A response that has begun must receive more bytes in each such interval. */
   private static final long CHECK_INTERVAL_MILLIS = 300;
 
-  /** A response must be complete within this many intervals. */
+  /** The number of intervals after which a response that is still incomplete has stalled. */
   private static final int MAX_CHECKS = 5;
 
   private enum Progress {
-    /** No part of a response has arrived. */
+    /** No bytes of a response have arrived. */
     NOT_BEGUN,
-    /** A part has arrived, and no more since the last check. */
+    /** Part of a response has arrived, but no bytes since the last check. */
     UNCHANGED,
-    /** A part has arrived, some of it since the last check. */
+    /** Part of a response has arrived, some of its bytes since the last check. */
     ADVANCED
   }
 
   private final EventLoop loop;
   private final Runnable onStall;
   private Progress progress = Progress.NOT_BEGUN;
-  private int checks;
+
+  /** How many checks the response to the current request has passed. */
+  private int passedChecks;
+
   private Future<?> nextCheck;
 
+  /**
+   * Creates the detector of one connection.
+   *
+   * @param onStall called when a response has stalled
+   */
   ResponseStallDetector(EventLoop loop, Runnable onStall) {
     this.loop = loop;
     this.onStall = onStall;
   }
 
-  /** A request is about to be written. */
+  /** Called when a request is about to be written to the connection. */
   void requestStarted() {
-    checks = 0;
+    passedChecks = 0;
   }
 
-  /** Bytes of a response have arrived. */
+  /** Called when bytes of a response have arrived. */
   void bytesReceived() {
     progress = Progress.ADVANCED;
   }
 
-  /** All bytes that were available have been decoded; a response is awaited. */
+  /** Called when all received bytes have been decoded and the final response is not complete. */
   void readCompleted() {
     if (progress != Progress.NOT_BEGUN && nextCheck == null) {
       scheduleCheck();
     }
   }
 
-  /** A message is complete; tells whether bytes of another one have arrived. */
+  /**
+   * Called when an interim or final response is complete.
+   *
+   * @param moreReceived whether further bytes have arrived after it
+   */
   void messageCompleted(boolean moreReceived) {
     progress = moreReceived ? Progress.ADVANCED : Progress.NOT_BEGUN;
     cancel();
   }
 
-  /** Stops checking. */
+  /** Cancels the pending check. */
   void cancel() {
     if (nextCheck != null) {
       nextCheck.cancel(false);
@@ -75,7 +87,7 @@
 
   private void check() {
     nextCheck = null;
-    if (progress == Progress.UNCHANGED || ++checks >= MAX_CHECKS) {
+    if (progress == Progress.UNCHANGED || ++passedChecks >= MAX_CHECKS) {
       onStall.run();
     } else {
       scheduleCheck();
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
@@ -14,19 +14,20 @@
 import loadbalancer.proxy.protocol.ProtocolHeaders;
 
 /**
- * One request on its way to one endpoint. It is written once at most; every failure is an outcome,
- * and the listener is notified of exactly one. Confined to the event loop.
+ * One attempt: sends a request to one endpoint. The request is written at most once, and the
+ * listener is notified of exactly one outcome; failures are outcomes too. Used on the event loop
+ * thread only.
  */
 public final class UpstreamAttempt {
 
   private enum State {
-    /** Waits for a connection: nothing of the request can have run. */
+    /** Waiting for a connection; the endpoint can't have executed the request. */
     CONNECTING,
-    /** Has a connection; not all bytes are written, so the request can't have run. */
+    /** Writing the request; it is incomplete, so the endpoint can't have executed it. */
     WRITING,
-    /** All bytes are written: the request may have run. */
+    /** All bytes are written; the endpoint may have executed the request. */
     WRITTEN,
-    /** Over; the listener is notified of the outcome. */
+    /** Ended; the listener has been or is being notified of the outcome. */
     DONE
   }
 
@@ -41,19 +42,19 @@
   private final UpstreamClient.Listener listener;
   private final Future<?> timeout;
 
-  /** Channels opened for this attempt, that of the first connect first. */
+  /** The channels opened for this attempt: that of the first connect, then that of its retry. */
   private final List<Channel> openedChannels = new ArrayList<>(2);
 
   private State state = State.CONNECTING;
   private UpstreamEndpoint endpoint;
 
-  /** The connection that the attempt uses; null until it has one. */
+  /** The connection that carries the request; null until there is one. */
   private UpstreamConnection connection;
 
-  /** When the attempt got its connection; unused before. */
+  /** When the attempt got its connection and began to write; unused before. */
   private double writeStartedAtMillis;
 
-  /** The idle time of a pooled connection when it was taken; empty for a new connection. */
+  /** How long the connection was idle before the attempt took it; empty if it is new. */
   private OptionalDouble idleMillis = OptionalDouble.empty();
 
   UpstreamAttempt(
@@ -62,21 +63,21 @@
       ConnectionPool pool,
       UpstreamConnector connector,
       FullHttpRequest request,
-      double deadline,
+      double deadlineMillis,
       UpstreamClient.Listener listener) {
     this.loop = loop;
     this.clock = clock;
     this.pool = pool;
     this.connector = connector;
     this.request = request;
-    this.deadlineMillis = deadline;
+    this.deadlineMillis = deadlineMillis;
     this.listener = listener;
-    timeout = loop.schedule(this::timedOut, clock.nanosUntil(deadline), TimeUnit.NANOSECONDS);
+    timeout = loop.schedule(this::timedOut, clock.nanosUntil(deadlineMillis), TimeUnit.NANOSECONDS);
   }
 
-  /** Sends the request over a pooled connection or a new one. */
-  void start(UpstreamEndpoint target) {
-    endpoint = target;
+  /** Sends the request to an endpoint over a pooled connection or a new one. */
+  void start(UpstreamEndpoint targetEndpoint) {
+    endpoint = targetEndpoint;
     UpstreamConnection pooled =
         pool.acquire(endpoint, ForwardedRequest.isRetryable(request)).orElse(null);
     if (pooled != null) {
@@ -85,43 +86,50 @@
       long delayMicros = (long) (connector.retryDelayMillis() * MICROS_PER_MILLI);
       loop.schedule(this::retryConnect, delayMicros, TimeUnit.MICROSECONDS);
     } else {
-      // A shortage of descriptors here says nothing about the endpoint.
+      // Not CONNECT_FAILED: a lack of descriptors in this process says nothing of the endpoint.
       finish(AttemptOutcome.NOT_SENT, null);
     }
   }
 
-  /** Ends an attempt whose endpoint is not on the list. */
+  /** Ends the attempt because its endpoint is not on the endpoint list. */
   void endpointUnknown() {
     finish(AttemptOutcome.CONNECT_FAILED, null);
   }
 
-  /** The first connect is late. The attempt uses the connection that is established first. */
+  /**
+   * Opens a second connection because the first is still not established. The attempt uses the one
+   * that is established first.
+   */
   private void retryConnect() {
     if (state == State.CONNECTING && endpoint.isReady()) {
       connector.connect(endpoint.entry(), this);
     }
   }
 
+  /** Called when a connect for this attempt has begun. */
   void connectStarted(Channel channel) {
     openedChannels.add(channel);
   }
 
+  /** Called when a connection that was opened for this attempt is established. */
   void connected(UpstreamConnection established) {
     if (connection != null) {
-      // The other connection was faster.
+      // The attempt already uses the other connection, so this one goes to the pool.
       pool.release(established, endpoint);
     } else if (state == State.DONE) {
       established.close();
     } else if (!listener.isStillWanted()) {
       abort(AttemptOutcome.NOT_SENT);
     } else if (state == State.CONNECTING) {
-      // Checked again: the listener may have ended the attempt when it was asked.
+      // The state is checked only here since isStillWanted may have ended the attempt.
       write(established);
     }
   }
 
+  /** Called when a connect for this attempt has failed or timed out. */
   void connectFailed(Channel channel) {
-    // The policy reckons with the timeout of one connect, so a retry doesn't prolong it.
+    // The policy expects an attempt to wait for at most one connect timeout. So the failure of the
+    // first connect ends the attempt even if the retry is pending; a failed retry doesn't end it.
     if (state == State.CONNECTING && channel.equals(openedChannels.get(0))) {
       abort(AttemptOutcome.CONNECT_FAILED);
     }
@@ -133,9 +141,9 @@
     connection = acquired;
     writeStartedAtMillis = now;
     idleMillis = acquired.idleMillis(now);
-    // Guards against an endpoint that was replaced meanwhile: another one may have its address.
-    boolean isCurrent = endpoint.isSameProcess(acquired.entry());
-    if (now >= deadlineMillis || !isCurrent || !endpoint.acceptsRequests(now)) {
+    // While the connect was pending, another process may have taken the endpoint's place.
+    boolean isSameProcess = endpoint.isSameProcess(acquired.entry());
+    if (now >= deadlineMillis || !isSameProcess || !endpoint.acceptsRequests(now)) {
       pool.release(acquired, endpoint);
       finish(AttemptOutcome.CONNECT_FAILED, null);
       return;
@@ -144,10 +152,10 @@
     String host = endpoint.entry().address().getHostString();
     acquired.write(
         ForwardedRequest.create(request, host, deadlineMillis - now),
-        result -> writeCompleted(result.isSuccess()));
+        result -> writeEnded(result.isSuccess()));
   }
 
-  private void writeCompleted(boolean success) {
+  private void writeEnded(boolean success) {
     if (!success) {
       connectionLost();
     } else if (state == State.WRITING) {
@@ -155,22 +163,22 @@
     }
   }
 
-  /** Whether all bytes of the request are written and the attempt still awaits its response. */
+  /** Whether all bytes of the request are written and its response is awaited. */
   boolean isWritten() {
     return state == State.WRITTEN;
   }
 
-  /** The connection has ended without a complete response. */
+  /** Called when the connection has ended before the response was complete. */
   void connectionLost() {
     if (state != State.DONE
         && idleMillis.isPresent()
-        && clock.now() - writeStartedAtMillis < IdleConnectionTrust.IMMEDIATE_RESET_MILLIS) {
-      pool.trust().recordReset(idleMillis.getAsDouble());
+        && clock.now() - writeStartedAtMillis < IdleReuseLimit.IMMEDIATE_RESET_MILLIS) {
+      pool.reuseLimit().recordReset(idleMillis.getAsDouble());
     }
     abort(isWritten() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
   }
 
-  /** What arrived on the connection is not a valid response. */
+  /** Called when the bytes received on the connection are not a valid response. */
   void responseInvalid() {
     abort(isWritten() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED);
   }
@@ -180,7 +188,7 @@
   }
 
   /**
-   * Ends the attempt with {@link AttemptOutcome#NOT_SENT} if it still waits for its connection; has
+   * Ends the attempt with {@link AttemptOutcome#NOT_SENT} if it still waits for a connection; has
    * no effect otherwise.
    */
   public void abandonIfConnecting() {
@@ -190,16 +198,17 @@
   }
 
   /**
-   * Ends the attempt with {@link AttemptOutcome#CANCELLED} and closes its connection, which tells
-   * the endpoint; has no effect once the attempt is over.
+   * Ends the attempt with {@link AttemptOutcome#CANCELLED} and closes its connection, by which the
+   * endpoint learns of the cancellation; has no effect once the attempt has ended.
    */
   public void cancel() {
     abort(AttemptOutcome.CANCELLED);
   }
 
   /**
-   * Ends the attempt and its connections. They are closed first: the policy's reaction would else
-   * overtake the close and be a duplicate request to the endpoint.
+   * Ends the attempt and closes its connections. They are closed before the listener is notified:
+   * otherwise a retry could reach the endpoint before the end of this attempt's connection does,
+   * and the endpoint might execute the request twice.
    */
   private void abort(AttemptOutcome outcome) {
     if (state == State.DONE) {
@@ -215,9 +224,9 @@
     listener.attemptFinished(outcome, null);
   }
 
-  /** The connection delivered a complete final response. */
+  /** Called when the connection has delivered a complete final response. */
   void responseReceived(FullHttpResponse response) {
-    idleMillis.ifPresent(pool.trust()::recordSuccess);
+    idleMillis.ifPresent(pool.reuseLimit()::recordSuccess);
     finish(outcomeOf(response), response);
   }
 
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamClient.java
@@ -16,27 +16,35 @@
 import loadbalancer.proxy.eventloop.DescriptorBudget;
 
 /**
- * Sends attempts and health checks to endpoints and reports how each ended. It retries nothing: a
- * failure is an outcome. Confined to the event loop.
+ * Sends attempts and health checks to endpoints and reports the outcome of each. Retries are the
+ * policy's decision: this client reports a failure and sends nothing again. Used on the event loop
+ * thread only.
  */
 public final class UpstreamClient {
 
+  /** The interval in which idle connections and removed endpoints are swept from the pool. */
   private static final long SWEEP_INTERVAL_MILLIS = 1_000;
 
+  /** The health check path of endpoints that send load reports. */
   private static final String LOAD_REPORT_PATH = "/_load";
+
+  /** The health check path of endpoints without load reports. */
   private static final String PING_PATH = "/ping";
 
-  /** Waits for the outcome of an attempt. */
+  /** Receives the outcome of an attempt or a health check. */
   public interface Listener {
 
     /**
-     * Called once, when the attempt is over. The response is null if none came, and is released
-     * after the call.
+     * Called exactly once, when the attempt has ended.
+     *
+     * @param response the complete response, which is released after the call; null if there is
+     *     none
      */
     void attemptFinished(AttemptOutcome outcome, FullHttpResponse response);
 
     /**
-     * Whether the outcome is still wanted; asked before a request is written to a new connection.
+     * Whether the outcome is still wanted, which it is not once the client has disconnected. Called
+     * before a request is written to a new connection; may end the attempt.
      */
     default boolean isStillWanted() {
       return true;
@@ -56,84 +64,86 @@
       Clock clock,
       PolicySettings settings,
       DescriptorBudget descriptorBudget,
-      ByteBufAllocator memory) {
+      ByteBufAllocator allocator) {
     this.loop = loop;
     this.clock = clock;
     this.settings = settings;
     pool = new ConnectionPool(clock, settings, options);
     connector =
-        new UpstreamConnector(loop, clock, settings, descriptorBudget, memory, pool, options);
+        new UpstreamConnector(loop, clock, settings, descriptorBudget, allocator, pool, options);
     descriptorBudget.onEvictUpstream(pool::evictLongestIdle);
     loop.scheduleAtFixedRate(
         this::sweep, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /**
-   * Takes in a list of endpoints and closes the idle connections of those that are draining or
-   * removed.
+   * Applies an update of the endpoint list and closes the idle connections to endpoints that are
+   * now draining or removed.
    *
-   * @param notifiedAt when discovery had the list, in ms since 1970; the drain grace counts from it
+   * @param notifiedAtMillis the earliest time at which the update may have reached this instance,
+   *     in milliseconds since 1970; the drain grace of the endpoints counts from it
    */
-  public void updateEndpoints(EndpointListUpdate update, double notifiedAt) {
-    pool.updateEndpoints(update, notifiedAt);
+  public void updateEndpoints(EndpointListUpdate update, double notifiedAtMillis) {
+    pool.updateEndpoints(update, notifiedAtMillis);
   }
 
   /**
-   * Sends a request to an endpoint. The body and the listener are used until the listener has been
-   * called, which may happen before this returns.
+   * Sends a request to an endpoint. The listener may be called before this method returns. The
+   * request's body must not be released before the listener is called.
    *
-   * @param deadline when the attempt times out, in ms since 1970
+   * @param deadlineMillis when the attempt times out, in milliseconds since 1970
    */
   public UpstreamAttempt send(
-      long endpointId, FullHttpRequest request, double deadline, Listener listener) {
+      long endpointId, FullHttpRequest request, double deadlineMillis, Listener listener) {
     UpstreamAttempt attempt =
-        new UpstreamAttempt(loop, clock, pool, connector, request, deadline, listener);
+        new UpstreamAttempt(loop, clock, pool, connector, request, deadlineMillis, listener);
     pool.find(endpointId).ifPresentOrElse(attempt::start, attempt::endpointUnknown);
     return attempt;
   }
 
   /**
-   * Checks an endpoint's health; the response's body holds its load report if there is any.
+   * Checks an endpoint's health. If the endpoints send load reports, the body of the response is
+   * one.
    *
-   * @param deadline when the check times out, in ms since 1970
+   * @param deadlineMillis when the check times out, in milliseconds since 1970
    */
-  public void checkHealth(long endpointId, double deadline, Listener listener) {
+  public void checkHealth(long endpointId, double deadlineMillis, Listener listener) {
     String path = settings.loadReportFields().isEmpty() ? PING_PATH : LOAD_REPORT_PATH;
     FullHttpRequest request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
-    send(endpointId, request, deadline, listener);
+    send(endpointId, request, deadlineMillis, listener);
   }
 
-  /** Closes an endpoint's idle connections; has no effect on an unknown endpoint. */
+  /** Closes all idle connections to an endpoint; has no effect if the endpoint is unknown. */
   public void closeIdleConnections(long endpointId) {
     pool.find(endpointId).ifPresent(UpstreamEndpoint::closeIdleConnections);
   }
 
   private void sweep() {
-    pool.trust().recover();
+    pool.reuseLimit().recover();
     pool.sweep(clock.now());
   }
 
-  /** For tests: the options in use. */
+  /** The current options. For tests. */
   public UpstreamClientOptions options() {
     return options;
   }
 
-  /** For tests: replaces the options, and forgets what was measured on connections so far. */
+  /** Replaces the options and discards the recorded connect times and resets. For tests. */
   public void useOptions(UpstreamClientOptions newOptions) {
     options = newOptions;
     pool.useOptions(newOptions);
     connector.useOptions(newOptions);
   }
 
-  /** For tests: the endpoints and their idle connections. */
+  /** The known endpoints and their idle connections. For tests. */
   ConnectionPool pool() {
     return pool;
   }
 
-  /** For tests: how many connections are not established yet. */
-  int pendingConnections() {
-    return connector.pendingConnections();
+  /** The number of connects that have neither succeeded nor failed yet. For tests. */
+  int pendingConnects() {
+    return connector.pendingConnects();
   }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamClientOptions.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamClientOptions.java
@@ -4,55 +4,58 @@
 import java.util.OptionalInt;
 
 /**
- * What tests change of an {@link UpstreamClient}.
+ * The settings of an {@link UpstreamClient} that tests may change; production uses {@link
+ * #DEFAULT}.
  *
- * @param freshIdleMillis up to this idle time a connection is fresh
- * @param reuseDelayMillis how long a connection stays idle at least before its next request
- * @param initialConnectMillis the first estimate of the median connect time; empty for that of the
- *     connect timeout
- * @param sendBufferBytes the kernel's send buffer of a connection; empty for the system's choice
+ * @param freshIdleMillis the idle time up to which a connection is fresh and may always be reused
+ * @param reuseDelayMillis the least time for which a connection stays idle before it is reused
+ * @param initialMedianConnectMillis the initial estimate of the median connect time; if empty, it
+ *     follows from the connect timeout
+ * @param sendBufferBytes the size of the kernel's send buffer of a connection; empty to let the
+ *     operating system choose it
  */
 public record UpstreamClientOptions(
     double freshIdleMillis,
     double reuseDelayMillis,
-    OptionalDouble initialConnectMillis,
+    OptionalDouble initialMedianConnectMillis,
     OptionalInt sendBufferBytes) {
 
   /**
-   * Guards against a duplicate response that arrives some milliseconds after the first: nothing in
-   * it tells that it isn't the next request's, but on an idle connection it is a violation.
+   * An endpoint may send the same response twice, some milliseconds apart. On a connection that
+   * already carries the next request, the duplicate would be taken for the response to that one. On
+   * an idle connection it is a protocol violation, which closes the connection.
    */
   private static final double REUSE_DELAY_MILLIS = 20;
 
-  /** The options in production. */
+  /** The options that production uses. */
   public static final UpstreamClientOptions DEFAULT =
       new UpstreamClientOptions(
-          IdleConnectionTrust.FRESH_IDLE_MILLIS,
+          IdleReuseLimit.FRESH_IDLE_MILLIS,
           REUSE_DELAY_MILLIS,
           OptionalDouble.empty(),
           OptionalInt.empty());
 
-  /** A copy with another fresh idle time, in milliseconds. */
+  /** Returns a copy with another fresh idle time. */
   public UpstreamClientOptions withFreshIdleMillis(double millis) {
     return new UpstreamClientOptions(
-        millis, reuseDelayMillis, initialConnectMillis, sendBufferBytes);
+        millis, reuseDelayMillis, initialMedianConnectMillis, sendBufferBytes);
   }
 
-  /** A copy with another reuse delay, in milliseconds. */
+  /** Returns a copy with another reuse delay. */
   public UpstreamClientOptions withReuseDelayMillis(double millis) {
     return new UpstreamClientOptions(
-        freshIdleMillis, millis, initialConnectMillis, sendBufferBytes);
+        freshIdleMillis, millis, initialMedianConnectMillis, sendBufferBytes);
   }
 
-  /** A copy with another first estimate of the connect time, in milliseconds. */
-  public UpstreamClientOptions withInitialConnectMillis(double millis) {
+  /** Returns a copy with another initial estimate of the median connect time. */
+  public UpstreamClientOptions withInitialMedianConnectMillis(double millis) {
     return new UpstreamClientOptions(
         freshIdleMillis, reuseDelayMillis, OptionalDouble.of(millis), sendBufferBytes);
   }
 
-  /** A copy with another send buffer, in bytes. */
+  /** Returns a copy with another send buffer size. */
   public UpstreamClientOptions withSendBufferBytes(int bytes) {
     return new UpstreamClientOptions(
-        freshIdleMillis, reuseDelayMillis, initialConnectMillis, OptionalInt.of(bytes));
+        freshIdleMillis, reuseDelayMillis, initialMedianConnectMillis, OptionalInt.of(bytes));
   }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -20,12 +20,13 @@
 import loadbalancer.proxy.protocol.ProtocolHeaders;
 
 /**
- * The handler of one connection to an endpoint, which carries one attempt at a time and checks its
- * response. Confined to the event loop.
+ * The channel handler of one connection to an endpoint. The connection carries one attempt at a
+ * time; the handler validates the response. Used on the event loop thread only.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<FullHttpResponse>
     implements UpstreamResponseDecoder.Connection {
 
+  /** More 1xx responses than this to one request are a protocol violation. */
   private static final int MAX_INTERIM_RESPONSES = 16;
 
   private final Channel channel;
@@ -34,17 +35,18 @@
   private final ResponseStallDetector stallDetector;
 
   /** When the connection last became idle; empty until it is first pooled. */
-  private OptionalDouble idleSince = OptionalDouble.empty();
+  private OptionalDouble idleSinceMillis = OptionalDouble.empty();
 
-  /** The endpoint as it was when the connection was opened; null until it is established. */
+  /** The endpoint's entry for which the connection was opened; null until it is established. */
   private Entry entry;
 
-  /** The attempt that awaits its response; null if none does. */
+  /** The attempt whose response is awaited; null if there is none. */
   private UpstreamAttempt attempt;
 
-  /** The endpoint that the connection was last used or pooled for; null before. */
+  /** The endpoint for which the connection was last used or pooled; null before its first use. */
   private UpstreamEndpoint endpoint;
 
+  /** The number of 1xx responses to the current request. */
   private int interimResponses;
 
   UpstreamConnection(Channel channel, ConnectionPool pool) {
@@ -63,15 +65,16 @@
             this);
   }
 
-  void established(Entry openedTo) {
-    entry = openedTo;
+  /** Called when the connection that was opened for the given entry is established. */
+  void established(Entry openedFor) {
+    entry = openedFor;
   }
 
   Entry entry() {
     return entry;
   }
 
-  /** Makes the connection await the response of an attempt. */
+  /** Assigns the connection to an attempt, whose response is awaited from now on. */
   void attach(UpstreamAttempt newAttempt, UpstreamEndpoint attemptEndpoint) {
     attempt = newAttempt;
     endpoint = attemptEndpoint;
@@ -80,31 +83,34 @@
     stallDetector.requestStarted();
   }
 
-  /** No attempt uses the connection any more. */
-  void detach(UpstreamEndpoint home) {
+  /**
+   * Called when no attempt uses the connection any more and it goes to the given endpoint's pool.
+   */
+  void detach(UpstreamEndpoint pooledFor) {
     attempt = null;
-    endpoint = home;
+    endpoint = pooledFor;
   }
 
   void markIdle(double now) {
-    idleSince = OptionalDouble.of(now);
+    idleSinceMillis = OptionalDouble.of(now);
   }
 
-  /** When the connection last became idle; only for one that is or was in the pool. */
-  double idleSince() {
-    return idleSince.getAsDouble();
+  /** When the connection last became idle; it must have been in the pool before. */
+  double idleSinceMillis() {
+    return idleSinceMillis.getAsDouble();
   }
 
-  /** How many milliseconds the connection has been idle; empty until it is first pooled. */
+  /** How long the connection has been idle, in milliseconds; empty until it is first pooled. */
   OptionalDouble idleMillis(double now) {
-    return idleSince.isPresent()
-        ? OptionalDouble.of(now - idleSince.getAsDouble())
+    return idleSinceMillis.isPresent()
+        ? OptionalDouble.of(now - idleSinceMillis.getAsDouble())
         : OptionalDouble.empty();
   }
 
   /**
-   * Whether the connection is open after all that the kernel holds for it has been read. Guards
-   * against writing to a connection that its endpoint has closed, which would count as run.
+   * Reads what the kernel has received on the connection, and returns whether it is still open.
+   * Otherwise a request could be written to a connection that the endpoint has already closed, and
+   * would count as one that the endpoint may have executed.
    */
   boolean isActiveAfterRead() {
     DescriptorBudget.readNow(channel);
@@ -131,11 +137,11 @@
 
   @Override
   public void protocolViolation() {
-    UpstreamAttempt violated = attempt;
+    UpstreamAttempt failedAttempt = attempt;
     attempt = null;
     channel.close();
-    if (violated != null) {
-      violated.responseInvalid();
+    if (failedAttempt != null) {
+      failedAttempt.responseInvalid();
     }
   }
 
@@ -151,8 +157,8 @@
   protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
     messageCompleted();
     if (attempt != null && !channel.isActive()) {
-      // Guards against a crash taken for the end of a response: the end of the connection
-      // completed this one.
+      // The end of the connection completed this response, which has no other framing. It cannot
+      // be told from one that a crash of the endpoint truncated.
       attempt.connectionLost();
     } else if (!isValid(response)) {
       protocolViolation();
@@ -173,7 +179,10 @@
     stallDetector.messageCompleted(moreReceived);
   }
 
-  /** Guards against a success for another request: it arrives before this one is written. */
+  /**
+   * Whether the response is well-formed and can belong to the attempt. A success that arrives
+   * before the request is completely written belongs to another request.
+   */
   private boolean isValid(FullHttpResponse response) {
     return attempt != null
         && response.decoderResult().isSuccess()
@@ -189,12 +198,15 @@
   }
 
   private void finalResponse(FullHttpResponse response) {
-    UpstreamAttempt answered = attempt;
+    UpstreamAttempt answeredAttempt = attempt;
     attempt = null;
     boolean reusable =
-        answered.isWritten() && HttpUtil.isKeepAlive(response) && !decoder.hasBufferedBytes();
-    answered.responseReceived(response);
-    // Released only now: the policy's next attempt must not read from a connection being read.
+        answeredAttempt.isWritten()
+            && HttpUtil.isKeepAlive(response)
+            && !decoder.hasBufferedBytes();
+    answeredAttempt.responseReceived(response);
+    // Released only after the attempt is notified: the policy may start the next attempt in
+    // response, and acquiring this connection would read from it within its own read.
     if (reusable && channel.isActive()) {
       pool.release(this, endpoint);
     } else {
@@ -217,10 +229,10 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (cause instanceof IOException || cause instanceof PrematureChannelClosureException) {
-      // The attempt learns of it from channelInactive.
+      // Closing calls channelInactive, which notifies the attempt.
       channel.close();
     } else {
-      // The response is too large or not HTTP: the endpoint has had the request.
+      // The response is too large or malformed, so the endpoint may have executed the request.
       protocolViolation();
     }
   }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnector.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnector.java
@@ -14,7 +14,9 @@
 import loadbalancer.proxy.eventloop.Clock;
 import loadbalancer.proxy.eventloop.DescriptorBudget;
 
-/** Opens connections to endpoints within the descriptor budget. Confined to the event loop. */
+/**
+ * Opens connections to endpoints within the descriptor budget. Used on the event loop thread only.
+ */
 final class UpstreamConnector {
 
   private final Clock clock;
@@ -22,15 +24,15 @@
   private final ConnectionPool pool;
   private final double connectTimeoutMillis;
   private final Bootstrap bootstrap;
-  private ConnectTimeEstimate connectTime;
-  private int pendingConnections;
+  private ConnectTimeEstimate connectTimeEstimate;
+  private int pendingConnects;
 
   UpstreamConnector(
       EventLoop loop,
       Clock clock,
       PolicySettings settings,
       DescriptorBudget descriptorBudget,
-      ByteBufAllocator memory,
+      ByteBufAllocator allocator,
       ConnectionPool pool,
       UpstreamClientOptions options) {
     this.clock = clock;
@@ -41,7 +43,7 @@
         new Bootstrap()
             .group(loop)
             .channel(NioSocketChannel.class)
-            .option(ChannelOption.ALLOCATOR, memory)
+            .option(ChannelOption.ALLOCATOR, allocator)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutMillis))
             .handler(
@@ -54,47 +56,48 @@
     useOptions(options);
   }
 
-  /** Replaces the options, and forgets how long connections took. */
+  /** Replaces the options and discards the measured connect times. */
   void useOptions(UpstreamClientOptions options) {
-    connectTime = new ConnectTimeEstimate(connectTimeoutMillis, options.initialConnectMillis());
+    connectTimeEstimate =
+        new ConnectTimeEstimate(connectTimeoutMillis, options.initialMedianConnectMillis());
     Integer sendBufferBytes =
         options.sendBufferBytes().isPresent() ? options.sendBufferBytes().getAsInt() : null;
-    // Null leaves the size to the system.
+    // Null removes the option, so that the operating system chooses the size.
     bootstrap.option(ChannelOption.SO_SNDBUF, sendBufferBytes);
   }
 
-  /** Milliseconds to wait for a connection before the connect is retried. */
+  /** How long a connect may be pending before it is retried, in milliseconds. */
   double retryDelayMillis() {
-    return connectTime.retryDelayMillis();
+    return connectTimeEstimate.retryDelayMillis();
   }
 
-  /** How many connections are not established yet. */
-  int pendingConnections() {
-    return pendingConnections;
+  /** The number of connects that have neither succeeded nor failed yet. */
+  int pendingConnects() {
+    return pendingConnects;
   }
 
   /**
-   * Opens a connection for an attempt, which is notified of the result; false, without
-   * notification, if there is no descriptor for it.
+   * Opens a connection for an attempt, which is notified when the connect succeeds or fails.
+   * Returns false, and does not notify the attempt, if no descriptor is left for the connection.
    */
   boolean connect(Entry entry, UpstreamAttempt attempt) {
     if (!descriptorBudget.hasRoomForUpstream(clock.now())) {
       return false;
     }
-    ChannelFuture connecting = bootstrap.connect(entry.address());
-    if (connecting.cause() instanceof ChannelException) {
+    ChannelFuture connectFuture = bootstrap.connect(entry.address());
+    if (connectFuture.cause() instanceof ChannelException) {
       return false;
     }
-    Channel channel = connecting.channel();
+    Channel channel = connectFuture.channel();
     descriptorBudget.track(channel);
     attempt.connectStarted(channel);
-    pendingConnections++;
-    double startedAt = clock.now();
-    connecting.addListener(
+    pendingConnects++;
+    double startedAtMillis = clock.now();
+    connectFuture.addListener(
         result -> {
-          pendingConnections--;
+          pendingConnects--;
           if (result.isSuccess()) {
-            connectTime.observe(clock.now() - startedAt);
+            connectTimeEstimate.recordConnectTime(clock.now() - startedAtMillis);
             UpstreamConnection connection = channel.pipeline().get(UpstreamConnection.class);
             connection.established(entry);
             attempt.connected(connection);
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
@@ -6,37 +6,38 @@
 import loadbalancer.model.EndpointState;
 import loadbalancer.proxy.discovery.EndpointListUpdate.Entry;
 
-/** An endpoint, its state and its idle connections. Confined to the event loop. */
+/** An endpoint, its state and its idle connections. Used on the event loop thread only. */
 final class UpstreamEndpoint {
 
   /**
-   * The share of the drain grace in which a request that waited for its connection is still
-   * written: the notification counts from when discovery had it, and this instance learns of it up
-   * to half of the grace later.
+   * The fraction of the drain grace, counted from when this instance was notified, in which a
+   * request that waited for its connection is still written to a draining endpoint. The endpoint's
+   * own grace starts when discovery learns that it drains; the other half is left for the delay
+   * until the notification reaches this instance.
    */
-  private static final double WRITE_GRACE_SHARE = 0.5;
+  private static final double WRITE_GRACE_FRACTION = 0.5;
 
-  /** The idle connections, the longest idle first. */
+  /** The idle connections in the order in which they became idle. */
   private final Deque<UpstreamConnection> idleConnections = new ArrayDeque<>();
 
   private final double writeGraceMillis;
   private Entry entry;
   private EndpointState state = EndpointState.READY;
 
-  /** When the endpoint was notified that it is no longer ready; unused while it is. */
+  /** When this instance was notified that the endpoint is not ready; unused while it is ready. */
   private double notifiedAtMillis;
 
   /**
-   * Starts ready and without connections.
+   * Creates a ready endpoint without connections.
    *
    * @param drainGraceMillis how long after the notification a draining endpoint accepts requests
    */
   UpstreamEndpoint(Entry entry, double drainGraceMillis) {
     this.entry = entry;
-    writeGraceMillis = WRITE_GRACE_SHARE * drainGraceMillis;
+    writeGraceMillis = WRITE_GRACE_FRACTION * drainGraceMillis;
   }
 
-  /** The latest entry of the endpoint list; it stays after a removal. */
+  /** The endpoint's latest entry in the endpoint list; kept after the endpoint is removed. */
   Entry entry() {
     return entry;
   }
@@ -45,53 +46,53 @@
     return state == EndpointState.READY;
   }
 
-  /** Takes in an entry that is not a removal, notified at the given time. */
-  void update(Entry newEntry, double entryNotifiedAt) {
-    boolean replaced = !isSameProcess(newEntry);
+  /** Applies a new entry of the endpoint list, whose state is not {@code REMOVED}. */
+  void update(Entry newEntry, double entryNotifiedAtMillis) {
+    boolean processReplaced = !isSameProcess(newEntry);
     entry = newEntry;
-    if (replaced) {
+    if (processReplaced) {
       closeIdleConnections();
     }
     if (newEntry.endpoint().state() == EndpointState.READY) {
       state = EndpointState.READY;
     } else {
-      leaveReady(newEntry.endpoint().state(), entryNotifiedAt);
+      leaveReady(newEntry.endpoint().state(), entryNotifiedAtMillis);
     }
   }
 
-  /** The endpoint is no longer on the list. */
-  void remove(double removalNotifiedAt) {
-    leaveReady(EndpointState.REMOVED, removalNotifiedAt);
+  /** Marks the endpoint as no longer on the endpoint list. */
+  void remove(double removalNotifiedAtMillis) {
+    leaveReady(EndpointState.REMOVED, removalNotifiedAtMillis);
   }
 
-  private void leaveReady(EndpointState newState, double stateNotifiedAt) {
+  private void leaveReady(EndpointState newState, double stateNotifiedAtMillis) {
     if (isReady()) {
-      notifiedAtMillis = stateNotifiedAt;
+      notifiedAtMillis = stateNotifiedAtMillis;
       closeIdleConnections();
     }
     state = newState;
   }
 
-  /** Whether a connection that was opened to the given entry still leads to the same process. */
+  /** Whether a connection that was opened for the given entry leads to the current process. */
   boolean isSameProcess(Entry other) {
     return entry.endpoint().startedAtMillis() == other.endpoint().startedAtMillis()
         && entry.address().equals(other.address());
   }
 
-  /** Whether a request may still be written: the endpoint is ready or early in its drain grace. */
+  /** Whether a request may still be written: the endpoint is ready or within the write grace. */
   boolean acceptsRequests(double now) {
     return isReady() || now < notifiedAtMillis + writeGraceMillis;
   }
 
-  /** Whether the endpoint was removed before the given time and has no connection left. */
-  boolean isForgettable(double removedBefore) {
+  /** Whether the endpoint was removed before the given time and has no idle connection left. */
+  boolean isDiscardable(double removedBeforeMillis) {
     return state == EndpointState.REMOVED
-        && notifiedAtMillis < removedBefore
+        && notifiedAtMillis < removedBeforeMillis
         && !hasIdleConnection();
   }
 
   void closeIdleConnections() {
-    // Closing may call back and take the connection out of the queue.
+    // Not an iteration: closing a connection may call removeIdle, which changes the queue.
     while (hasIdleConnection()) {
       closeLongestIdle();
     }
@@ -106,24 +107,24 @@
     idleConnections.addLast(connection);
   }
 
-  /** Removes a connection from the idle ones, if it is one of them. */
+  /** Removes a connection from the idle ones; has no effect on any other connection. */
   void removeIdle(UpstreamConnection connection) {
     idleConnections.remove(connection);
   }
 
-  /** The idle connections, that which became idle last first; the iterator can remove. */
+  /** Iterates over the idle connections, the one that became idle last first; can remove them. */
   Iterator<UpstreamConnection> newestIdleFirst() {
     return idleConnections.descendingIterator();
   }
 
-  /** Since when the longest idle connection has been idle; there must be one. */
-  double oldestIdleSince() {
-    return idleConnections.getFirst().idleSince();
+  /** When the connection that has been idle for longest became idle; there must be one. */
+  double longestIdleSinceMillis() {
+    return idleConnections.getFirst().idleSinceMillis();
   }
 
-  /** Closes the connections that have been idle since before the given time. */
-  void closeIdleSinceBefore(double time) {
-    while (hasIdleConnection() && oldestIdleSince() < time) {
+  /** Closes the connections that became idle before the given time. */
+  void closeIdleSinceBefore(double timeMillis) {
+    while (hasIdleConnection() && longestIdleSinceMillis() < timeMillis) {
       closeLongestIdle();
     }
   }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamResponseDecoder.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamResponseDecoder.java
@@ -9,32 +9,33 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * An HTTP response decoder that checks the bytes ahead of Netty's, which buffers an incomplete line
- * unseen: bytes that no request awaits could be taken for the start of the next response. Confined
- * to the event loop.
+ * An HTTP response decoder that checks the received bytes before Netty's decoder gets them. Netty's
+ * decoder buffers an incomplete line without reporting it, so bytes that arrive while no response
+ * is awaited would become the start of the next request's response. Used on the event loop thread
+ * only.
  */
 final class UpstreamResponseDecoder extends HttpResponseDecoder {
 
-  /** The connection that the bytes arrive on. */
+  /** The connection on which the bytes arrive. */
   interface Connection {
 
-    /** Whether a request awaits a response. */
+    /** Whether the connection carries a request whose response is not complete. */
     boolean awaitsResponse();
 
-    /** Bytes that may be part of a response have arrived. */
+    /** Called when bytes that may be part of a response have arrived. */
     void responseBytesReceived();
 
-    /** The bytes are not a valid response; the connection must not be used again. */
+    /** Called when the bytes are not a valid response; ends the use of the connection. */
     void protocolViolation();
   }
 
-  /** How each response begins. */
+  /** The start of every HTTP/1.x response. */
   private static final byte[] VERSION_PREFIX = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
 
   private final Connection connection;
 
-  /** How many bytes of the version prefix have arrived. */
-  private int matchedBytes;
+  /** How many bytes of the version prefix the current response has matched so far. */
+  private int matchedPrefixBytes;
 
   UpstreamResponseDecoder(Connection connection) {
     this.connection = connection;
@@ -51,45 +52,54 @@
     super.channelRead(ctx, message);
   }
 
-  /** Guards against noise without a line end, for which the decoder would wait on. */
+  /**
+   * Whether the bytes continue the version prefix, or it is already complete. Without this check,
+   * Netty's decoder would wait for the end of the line if bytes without a line end arrive.
+   */
   private boolean matchesVersionPrefix(ByteBuf bytes) {
     int index = bytes.readerIndex();
-    while (matchedBytes < VERSION_PREFIX.length && index < bytes.writerIndex()) {
-      if (bytes.getByte(index++) != VERSION_PREFIX[matchedBytes++]) {
+    while (matchedPrefixBytes < VERSION_PREFIX.length && index < bytes.writerIndex()) {
+      if (bytes.getByte(index++) != VERSION_PREFIX[matchedPrefixBytes++]) {
         return false;
       }
     }
     return true;
   }
 
-  /** The next bytes are the first of a response. */
+  /** Makes the decoder check the next bytes as the start of a response. */
   void expectResponseStart() {
-    matchedBytes = 0;
+    matchedPrefixBytes = 0;
   }
 
-  /** The start of the next response is already buffered and is not checked again. */
+  /**
+   * Makes the decoder take the next bytes as the rest of a response whose start is already
+   * buffered.
+   */
   void expectResponseContinuation() {
-    matchedBytes = VERSION_PREFIX.length;
+    matchedPrefixBytes = VERSION_PREFIX.length;
   }
 
-  /** Whether bytes are buffered that belong to no complete message. */
+  /** Whether bytes after the last complete message are buffered. */
   boolean hasBufferedBytes() {
     return actualReadableBytes() > 0;
   }
 
-  /** Guards against a header line without a colon, which Netty takes for a name with no value. */
+  /** Rejects a header line without a colon, which Netty would accept as a name without a value. */
   @Override
   protected AsciiString splitHeaderName(byte[] line, int start, int length) {
     if (line[start + length] != ':') {
-      throw new IllegalArgumentException("a response header line has no colon");
+      throw new IllegalArgumentException("response header line has no colon after the header name");
     }
     return super.splitHeaderName(line, start, length);
   }
 
-  /** Guards against a message with both framings, of which Netty would drop the length. */
+  /**
+   * Rejects a response with both {@code Transfer-Encoding: chunked} and {@code Content-Length}, for
+   * which Netty would ignore the length.
+   */
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
     throw new IllegalArgumentException(
-        "a response has both Transfer-Encoding: chunked and Content-Length");
+        "response has both Transfer-Encoding: chunked and Content-Length");
   }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/package-info.java
+++ b/src/main/java/loadbalancer/proxy/upstream/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Attempts and health checks on endpoints over pooled HTTP/1.1 connections.
+ * Sends attempts and health checks to endpoints over pooled HTTP/1.1 connections.
  *
- * <p>{@link loadbalancer.proxy.upstream.UpstreamClient} is the entry and is called by the proxy's
- * main package only. Every class here is confined to the one event loop; nothing is synchronized.
- * Points in time are milliseconds since 1970 on the monotonic {@link
+ * <p>{@link loadbalancer.proxy.upstream.UpstreamClient} is the entry point; only the package {@code
+ * loadbalancer.proxy} calls it. All classes that hold state are used on the one event loop thread
+ * only, without synchronization. Points in time are milliseconds since 1970 on the monotonic {@link
  * loadbalancer.proxy.eventloop.Clock}.
  */
 package loadbalancer.proxy.upstream;
--- a/src/test/java/loadbalancer/proxy/upstream/ConnectTimeEstimateTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/ConnectTimeEstimateTest.java
@@ -10,7 +10,7 @@
 class ConnectTimeEstimateTest {
 
   @Test
-  void retryDelayBeginsAtAQuarterOfTheTimeout() {
+  void initialRetryDelayIsAQuarterOfTheConnectTimeout() {
     assertEquals(750, new ConnectTimeEstimate(3_000, OptionalDouble.empty()).retryDelayMillis());
   }
 
@@ -20,14 +20,14 @@
   }
 
   @Test
-  void retryDelayStaysWithinItsBounds() {
+  void retryDelayIsAtLeast10MillisAndAtMostAQuarterOfTheConnectTimeout() {
     ConnectTimeEstimate estimate = new ConnectTimeEstimate(3_000, OptionalDouble.of(20));
     for (int i = 0; i < 100; i++) {
-      estimate.observe(0.1);
+      estimate.recordConnectTime(0.1);
     }
     assertEquals(10, estimate.retryDelayMillis());
     for (int i = 0; i < 100; i++) {
-      estimate.observe(2_900);
+      estimate.recordConnectTime(2_900);
     }
     assertEquals(750, estimate.retryDelayMillis());
   }
--- a/src/test/java/loadbalancer/proxy/upstream/ConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/ConnectionPoolTest.java
@@ -81,7 +81,7 @@
       treatNoConnectionAsFresh(proxy);
       proxy.server.onLoop(
           (frontend, upstreams) -> {
-            upstreams.pool().trust().recordReset(400);
+            upstreams.pool().reuseLimit().recordReset(400);
             return null;
           });
       HttpPeer client = proxy.connectClient();
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectTest.java
@@ -57,12 +57,13 @@
       proxy.policy.onStart = () -> proxy.policy.actions.watchEndpoints(true);
       proxy.start();
       // As after many fast connects: the first connect is retried after 10 ms.
-      useOptions(proxy, options -> options.withInitialConnectMillis(0.1).withReuseDelayMillis(0));
+      useOptions(
+          proxy, options -> options.withInitialMedianConnectMillis(0.1).withReuseDelayMillis(0));
       announceEndpoint(proxy, ProxyFixture.endpointEntry(9, full.address(), "up"));
       HttpPeer client = proxy.connectClient();
       client.write(ProxyFixture.idempotentRequest("1", "9"));
       // Both connects are pending until the backlog has room.
-      while (proxy.server.onLoop((frontend, upstreams) -> upstreams.pendingConnections()) < 2) {
+      while (proxy.server.onLoop((frontend, upstreams) -> upstreams.pendingConnects()) < 2) {
         Thread.onSpinWait();
       }
       List<HttpPeer> accepted = new CopyOnWriteArrayList<>();
@@ -79,7 +80,7 @@
       carrier.write(ProxyFixture.okResponse("served"));
       assertEquals(200, client.read().status());
       assertEquals(AttemptOutcome.OK, proxy.policy.nextOutcome());
-      while (proxy.server.onLoop((frontend, upstreams) -> upstreams.pendingConnections()) > 0) {
+      while (proxy.server.onLoop((frontend, upstreams) -> upstreams.pendingConnects()) > 0) {
         Thread.onSpinWait();
       }
       for (HttpPeer peer : accepted) {
