--- a/src/main/java/loadbalancer/proxy/InFlightExchange.java
+++ b/src/main/java/loadbalancer/proxy/InFlightExchange.java
@@ -12,12 +12,14 @@
 import loadbalancer.proxy.upstream.UpstreamAttempt;
 
 /**
- * The state of one request, from its arrival until it has its final response and none of its
- * attempts is running. Used on the event loop thread only.
+ * The sockets' side of one request, from its arrival until it has its final response, or its client
+ * has disconnected, and none of its attempts is running. Used on the event loop thread only.
  */
 final class InFlightExchange implements RequestDispatcher.DispatchedRequest {
 
-  /** The share of the response grace after which a request without a response is overdue. */
+  /**
+   * A request without a response is overdue this share of the response grace after its deadline.
+   */
   private static final double OVERDUE_GRACE_SHARE = 0.5;
 
   private final long id;
@@ -25,10 +27,12 @@
   private final double deadlineMillis;
   private final Consumer<InFlightExchange> onClientDisconnected;
 
-  /** The attempts by their number; null for one that was not sent. */
+  /** The attempts, indexed by attempt number; null for an attempt that was not sent. */
   private final List<UpstreamAttempt> attempts = new ArrayList<>(2);
 
-  /** The number of attempts begun; ahead of the list while an attempt is being sent. */
+  /**
+   * The number of attempts begun; one more than {@link #attempts} holds while one is being sent.
+   */
   private int attemptCount;
 
   private int runningAttempts;
@@ -38,9 +42,12 @@
   private RequestDispatcher.Responder responder;
 
   /**
-   * Takes over one reference to {@code request}.
+   * Creates the exchange of a request that has just arrived.
    *
-   * @param deadlineMillis on the time line of {@link loadbalancer.proxy.eventloop.Clock}
+   * @param request one reference to it is taken over
+   * @param deadlineMillis when the request's deadline ends, on the instance's {@link
+   *     loadbalancer.proxy.eventloop.Clock}
+   * @param onClientDisconnected called when the client connection reports its end
    */
   InFlightExchange(
       long id,
@@ -67,13 +74,13 @@
     return deadlineMillis;
   }
 
-  /** Sets the timer that is cancelled when the exchange is closed. */
+  /** Sets the timer that fails the request when it is overdue; closing the exchange cancels it. */
   void setOverdueTimer(Future<?> timer) {
     overdueTimer = timer;
   }
 
   @Override
-  public boolean isOpen() {
+  public boolean isAwaitingResponse() {
     return responder != null;
   }
 
@@ -83,20 +90,20 @@
   }
 
   /**
-   * Whether a client waits for a response and is still connected as far as the kernel knows, which
-   * the event loop may not have been notified of yet.
+   * Whether a client waits for a response and is still connected; this also counts a disconnect
+   * that the kernel has received but the event loop has not handled yet.
    */
   boolean isClientConnected() {
     return responder != null && responder.isConnected();
   }
 
-  /** Counts one more running attempt and returns its number. */
+  /** Counts one more running attempt and returns its attempt number. */
   int beginAttempt() {
     runningAttempts++;
     return attemptCount++;
   }
 
-  /** Keeps the attempt begun last; null if it was not sent. */
+  /** Adds the attempt that was begun last; {@code null} if it was not sent. */
   void addAttempt(UpstreamAttempt attempt) {
     attempts.add(attempt);
   }
@@ -106,14 +113,14 @@
     runningAttempts--;
   }
 
-  /** Cancels an attempt; does nothing if it is unknown or was not sent. */
-  void cancelAttempt(int number) {
-    if (number < attempts.size()) {
-      cancel(attempts.get(number));
+  /** Cancels an attempt; does nothing if no attempt has this number or it was not sent. */
+  void cancelAttempt(int attemptNumber) {
+    if (attemptNumber < attempts.size()) {
+      cancel(attempts.get(attemptNumber));
     }
   }
 
-  /** Cancels all attempts, also those that have been written. */
+  /** Cancels all attempts, including those already written to an upstream. */
   void cancelAttempts() {
     attempts.forEach(InFlightExchange::cancel);
   }
@@ -127,21 +134,21 @@
   /**
    * Writes the final response unless the exchange is closed; returns whether it did.
    *
-   * @param retryAfterMillis 0 for no advice
+   * @param retryAfterMillis the value of the Retry-After header; 0 for no header
    */
   boolean respond(HttpResponseStatus status, ByteBuf body, double retryAfterMillis) {
-    RequestDispatcher.Responder waiting = responder;
-    if (waiting == null) {
+    RequestDispatcher.Responder firstResponder = responder;
+    if (firstResponder == null) {
       return false;
     }
     close();
-    waiting.respond(status, body, retryAfterMillis);
+    firstResponder.respond(status, body, retryAfterMillis);
     return true;
   }
 
   /**
-   * Closes the exchange: no response is owed any more. Attempts that wait for a connection are
-   * abandoned, whether or not the policy may cancel those that have been written.
+   * Closes the exchange: the request has its final response or needs none. Attempts that still wait
+   * for a connection are abandoned, even where the policy may not cancel a written attempt.
    */
   void close() {
     responder = null;
@@ -151,13 +158,13 @@
     attempts.stream().filter(Objects::nonNull).forEach(UpstreamAttempt::abandonIfConnecting);
   }
 
-  /** When the request has to be failed if the policy has left it without a response. */
+  /** The time at which the request is failed if the policy has not responded to it by then. */
   double overdueAtMillis(double responseGraceMillis) {
     return deadlineMillis + OVERDUE_GRACE_SHARE * responseGraceMillis;
   }
 
-  /** Whether nothing more can happen to the exchange. */
-  boolean isSettled() {
-    return !isOpen() && runningAttempts == 0;
+  /** Whether the exchange is closed and no attempt is running, so that nothing more can happen. */
+  boolean isFinished() {
+    return !isAwaitingResponse() && runningAttempts == 0;
   }
 }
--- a/src/main/java/loadbalancer/proxy/Main.java
+++ b/src/main/java/loadbalancer/proxy/Main.java
@@ -25,8 +25,8 @@
   private Main() {}
 
   /**
-   * Runs the subcommand that the arguments name. Exits with status 2 if there is none, and with 1
-   * if the instance cannot be started; either way with one line on standard error.
+   * Runs the subcommand that the arguments name. If they name none, exits with status 2; if the
+   * instance cannot be started, with status 1. Either way prints one line on standard error.
    */
   public static void main(String[] args) throws InterruptedException {
     if (args.length == 1 && args[0].equals("wire")) {
@@ -39,7 +39,7 @@
   }
 
   private static void serve() throws InterruptedException {
-    // Guards against a logging library on the class path that Netty would prefer to the JDK's.
+    // Netty would otherwise prefer another logging library to the JDK's if the class path had one.
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     CompletableFuture<ProxyServer> started = new CompletableFuture<>();
     reloadOnHangup(started);
@@ -50,26 +50,26 @@
     } catch (ConfigurationException e) {
       exit("load-balancer: " + e.getMessage(), EXIT_FAILURE);
     } catch (IllegalStateException e) {
-      ProxyLogger.LOGGER.info("shutdown before start completed");
+      ProxyLogger.LOGGER.info("shutdown requested before the start was complete");
     }
-    // The threads of the server are daemons, so the process ends with its shutdown hook.
+    // All other threads are daemons; this one keeps the process alive until its shutdown hook ends.
     new CountDownLatch(1).await();
   }
 
   /**
-   * Registers the graceful shutdown and accepts clients. SIGTERM runs the hook, and the process
-   * lives until the hook returns. The hook is registered before the first client is accepted.
+   * Accepts clients, after registering a shutdown hook. SIGTERM runs the hook, which shuts down
+   * gracefully, and the process ends when the hook returns.
    *
    * @throws IllegalStateException if the process is already shutting down
    */
   private static void serveUntilShutdown(ProxyServer server)
       throws ConfigurationException, InterruptedException {
-    Thread hook = new Thread(() -> shutDownGracefully(server), "graceful-shutdown");
-    Runtime.getRuntime().addShutdownHook(hook);
+    Thread shutdownHook = new Thread(() -> shutDownGracefully(server), "graceful-shutdown");
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
     try {
       server.serve();
     } catch (ConfigurationException e) {
-      Runtime.getRuntime().removeShutdownHook(hook);
+      Runtime.getRuntime().removeShutdownHook(shutdownHook);
       throw e;
     }
   }
@@ -83,21 +83,22 @@
   }
 
   /**
-   * Makes SIGHUP reload the configuration; by default it would end the process, also during the
-   * start. A single thread reads the file, so that the last signal sees the last file.
+   * Makes SIGHUP reload the configuration; by default it would end the process. Registered before
+   * the start, during which a signal may come too. A single thread carries out all reloads, so that
+   * the file as of the last signal is the one that is applied last.
    */
   private static void reloadOnHangup(CompletableFuture<ProxyServer> started) {
-    ExecutorService reloader =
+    ExecutorService reloadExecutor =
         Executors.newSingleThreadExecutor(
-            work -> {
-              Thread thread = new Thread(work, "reload");
+            task -> {
+              Thread thread = new Thread(task, "reload");
               thread.setDaemon(true);
               return thread;
             });
-    onHangup(() -> reloader.execute(() -> reload(started)));
+    onHangup(() -> reloadExecutor.execute(() -> reload(started)));
   }
 
-  /** Waits for the start to complete; a configuration with an error changes nothing. */
+  /** Waits for the start to complete and reloads; an invalid configuration changes nothing. */
   private static void reload(CompletableFuture<ProxyServer> started) {
     try {
       ProxyServer server = started.join();
@@ -108,10 +109,13 @@
     }
   }
 
-  /** Uses reflection because javac warns of each use of this class, and nothing can silence it. */
+  /**
+   * Sets the handler of SIGHUP. Uses reflection because javac warns of each direct use of
+   * sun.misc.Signal and the warning can't be suppressed.
+   */
   private static void onHangup(Runnable action) {
     try {
-      Class<?> signal = Class.forName("sun.misc.Signal");
+      Class<?> signalType = Class.forName("sun.misc.Signal");
       Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
       Object handler =
           Proxy.newProxyInstance(
@@ -121,11 +125,11 @@
                 action.run();
                 return null;
               });
-      signal
-          .getMethod("handle", signal, handlerType)
-          .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handler);
+      signalType
+          .getMethod("handle", signalType, handlerType)
+          .invoke(null, signalType.getConstructor(String.class).newInstance("HUP"), handler);
     } catch (ReflectiveOperationException e) {
-      exit("load-balancer: SIGHUP can't be handled: " + e, EXIT_FAILURE);
+      exit("load-balancer: cannot install a handler for SIGHUP: " + e, EXIT_FAILURE);
     }
   }
 
--- a/src/main/java/loadbalancer/proxy/PendingDiscoveryReader.java
+++ b/src/main/java/loadbalancer/proxy/PendingDiscoveryReader.java
@@ -5,19 +5,20 @@
 import loadbalancer.proxy.eventloop.EventLoopMonitor;
 
 /**
- * Reads pending discovery responses ahead of other events while the event loop is late. Those other
- * events may take longer than the grace period of a draining endpoint, and no decision may rest on
- * an outdated endpoint list. Used on the event loop thread only.
+ * Reads discovery responses that wait in the kernel ahead of other events while the event loop is
+ * late. To handle those other events first could take longer than the grace period in which a
+ * draining endpoint still accepts requests, and endpoints would be selected from an outdated list.
+ * Used on the event loop thread only.
  */
 final class PendingDiscoveryReader {
 
-  /** How long a discovery response may stay unread while the event loop is busy. */
+  /** The longest time for which a discovery response may stay unread while the loop is busy. */
   private static final double MAX_UNREAD_MILLIS = 10;
 
   private final DiscoveryClient discovery;
   private final Clock clock;
   private final EventLoopMonitor monitor;
-  private double lastReadMillis = Double.NEGATIVE_INFINITY;
+  private double lastReadAtMillis = Double.NEGATIVE_INFINITY;
 
   PendingDiscoveryReader(DiscoveryClient discovery, Clock clock, EventLoopMonitor monitor) {
     this.discovery = discovery;
@@ -25,21 +26,21 @@
     this.monitor = monitor;
   }
 
-  /** Reads what discovery has sent if the event loop is late and the last read is not recent. */
+  /** Reads what discovery has sent, if it may have stayed unread for too long. */
   void readIfLate() {
     double now = clock.now();
-    boolean late = monitor.longestWaitMillis() >= MAX_UNREAD_MILLIS;
-    if (late && now - lastReadMillis >= MAX_UNREAD_MILLIS) {
+    boolean loopIsLate = monitor.longestWaitMillis() >= MAX_UNREAD_MILLIS;
+    if (loopIsLate && now - lastReadAtMillis >= MAX_UNREAD_MILLIS) {
       discovery.readPending();
-      lastReadMillis = now;
+      lastReadAtMillis = now;
     }
   }
 
   /**
-   * The earliest time, in milliseconds, at which a discovery response that is being handled now may
-   * have arrived: it may have been waiting unread in the kernel since then.
+   * The earliest time, in milliseconds of the instance's clock, at which the discovery response
+   * that is being handled may have arrived; it may have waited unread in the kernel since.
    */
   double earliestArrivalMillis() {
-    return Math.max(lastReadMillis, clock.now() - monitor.longestWaitMillis());
+    return Math.max(lastReadAtMillis, clock.now() - monitor.longestWaitMillis());
   }
 }
--- a/src/main/java/loadbalancer/proxy/PolicyDriver.java
+++ b/src/main/java/loadbalancer/proxy/PolicyDriver.java
@@ -38,15 +38,15 @@
 /**
  * Connects the sockets to the policy: notifies the policy of what happens on the sockets, one event
  * at a time, and carries out the actions that the policy asks for. Used on the event loop thread
- * only, except for {@link #awaitFirstUpdate}.
+ * only, except for {@link #awaitFirstEndpointList}.
  */
 final class PolicyDriver implements PolicyActions, RequestDispatcher {
 
-  /** A health check may take this many times the connect timeout. */
-  private static final double CONNECT_TIMEOUTS_PER_HEALTH_CHECK = 2;
+  /** The timeout of a health check is the connect timeout times this factor. */
+  private static final double HEALTH_CHECK_TIMEOUT_FACTOR = 2;
 
-  /** An event of the policy, and the exchange that it concerns or null. */
-  private record Event(InFlightExchange exchange, Runnable notification) {}
+  /** A call to the policy, and the exchange that it is about; null if it is about none. */
+  private record Event(InFlightExchange exchange, Runnable policyCall) {}
 
   private final ProxyConfig config;
   private final PolicySettings settings;
@@ -58,10 +58,10 @@
   private final PendingDiscoveryReader discoveryReader;
   private final RunToCompletionQueue<Event> events = new RunToCompletionQueue<>(this::handle);
   private final Map<Long, InFlightExchange> exchanges = new HashMap<>();
-  private final CountDownLatch firstUpdate = new CountDownLatch(1);
+  private final CountDownLatch firstEndpointList = new CountDownLatch(1);
   private long lastRequestId;
 
-  /** The exchange that the event being handled concerns; null if it concerns none. */
+  /** The exchange that the event being handled is about; null if it is about none. */
   private InFlightExchange currentExchange;
 
   PolicyDriver(
@@ -93,46 +93,46 @@
         null,
         () -> policy.endpointsChanged(clock.now(), EndpointUpdateType.CACHED, cached.endpoints()));
     if (!settings.explicitWatch()) {
-      // The policy gets updates without asking, yet they have to be fetched over a socket.
+      // In this mode the policy does not ask for updates, but only a watch delivers them.
       watchEndpoints(true);
     }
   }
 
   /**
-   * Waits on any thread but the event loop's until discovery has sent an endpoint list; returns
-   * whether it has.
+   * Waits until the policy has accepted an endpoint list from discovery, and returns whether it has
+   * in time. Never called on the event loop, which it would block.
    */
-  boolean awaitFirstUpdate(long timeoutMillis) throws InterruptedException {
-    return firstUpdate.await(timeoutMillis, TimeUnit.MILLISECONDS);
+  boolean awaitFirstEndpointList(long timeoutMillis) throws InterruptedException {
+    return firstEndpointList.await(timeoutMillis, TimeUnit.MILLISECONDS);
   }
 
-  /** Replaces what can change while the process runs: the address of discovery. */
-  void reconfigure(ProxyConfig changed) {
-    discovery.switchTo(changed.discovery());
+  /** Applies the only setting that may change while the process runs: the discovery address. */
+  void reconfigure(ProxyConfig newConfig) {
+    discovery.switchTo(newConfig.discovery());
   }
 
-  /** Fails every request that still waits for its final response. */
-  void failOpenRequests() {
+  /** Responds with status 504 to every request that has no final response yet. */
+  void failUnansweredRequests() {
     List.copyOf(exchanges.values()).stream()
-        .filter(InFlightExchange::isOpen)
+        .filter(InFlightExchange::isAwaitingResponse)
         .forEach(exchange -> fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT));
   }
 
   /**
-   * Notifies the policy of an event. An action may cause an event at once, such as a refused
-   * connection; that event waits until the policy has returned from the present one.
+   * Calls the policy, or queues the call while the policy handles another event. An action may
+   * cause an event before it returns: a refused connection ends its attempt.
    */
-  private void enqueue(InFlightExchange exchange, Runnable notification) {
+  private void enqueue(InFlightExchange exchange, Runnable policyCall) {
     if (!events.isRunning()) {
       discoveryReader.readIfLate();
     }
-    events.add(new Event(exchange, notification));
+    events.add(new Event(exchange, policyCall));
   }
 
   private void handle(Event event) {
     currentExchange = event.exchange();
     try {
-      event.notification().run();
+      event.policyCall().run();
     } catch (Throwable e) {
       policyFailed(event.exchange(), e);
     } finally {
@@ -140,27 +140,27 @@
     }
   }
 
-  /** Fails the request of a broken event: nothing is known of which actions have been taken. */
+  /** Fails the request: it is unknown which of its actions the policy took before the error. */
   private void policyFailed(InFlightExchange exchange, Throwable cause) {
     ProxyLogger.LOGGER.log(Level.SEVERE, "policy event failed", cause);
-    if (exchange != null && exchange.isOpen()) {
+    if (exchange != null && exchange.isAwaitingResponse()) {
       fail(exchange, HttpResponseStatus.INTERNAL_SERVER_ERROR);
     }
   }
 
-  /** Fails a request without the policy, which is notified as if the client had disconnected. */
+  /** Fails a request without asking the policy, to which it is reported as a client disconnect. */
   private void fail(InFlightExchange exchange, HttpResponseStatus status) {
     exchange.respond(status, Unpooled.EMPTY_BUFFER, 0);
     exchange.cancelAttempts();
     enqueue(null, () -> policy.clientDisconnected(clock.now(), exchange.id()));
-    removeIfSettled(exchange);
+    removeIfFinished(exchange);
   }
 
   /**
-   * Handles a discovery event; {@code update} is null if the call failed.
+   * Handles the end of a call to discovery; {@code update} is null if the call failed.
    *
-   * @throws IllegalStateException if the policy failed to accept the list, which has to be fetched
-   *     again
+   * @throws IllegalStateException if the policy threw an exception: the caller has to fetch the
+   *     whole list again
    */
   private void endpointsUpdated(EndpointUpdateType type, EndpointListUpdate update) {
     List<Endpoint> endpoints = update == null ? List.of() : update.endpoints();
@@ -179,9 +179,9 @@
     }
     if (!accepted[0]) {
       throw new IllegalStateException(
-          "the policy did not accept endpoint list version " + update.version());
+          "the policy failed to handle endpoint list version " + update.version());
     }
-    firstUpdate.countDown();
+    firstEndpointList.countDown();
   }
 
   @Override
@@ -191,47 +191,47 @@
 
   @Override
   public DispatchedRequest dispatch(
-      Function<Long, ClientRequest> description, FullHttpRequest message, Responder responder) {
-    ClientRequest request = description.apply(++lastRequestId);
+      Function<Long, ClientRequest> requestForId, FullHttpRequest message, Responder responder) {
+    ClientRequest request = requestForId.apply(++lastRequestId);
     InFlightExchange exchange =
         new InFlightExchange(
             request.id(), message, request.deadlineMillis(), responder, this::clientDisconnected);
     exchanges.put(exchange.id(), exchange);
-    double overdueMillis = exchange.overdueAtMillis(settings.rules().responseGraceMillis());
+    double overdueAtMillis = exchange.overdueAtMillis(settings.rules().responseGraceMillis());
     exchange.setOverdueTimer(
         loop.schedule(
-            () -> failOverdue(exchange), clock.nanosUntil(overdueMillis), TimeUnit.NANOSECONDS));
+            () -> failOverdue(exchange), clock.nanosUntil(overdueAtMillis), TimeUnit.NANOSECONDS));
     enqueue(exchange, () -> policy.requestArrived(clock.now(), request));
     return exchange;
   }
 
   /** Guards against a policy that leaves a request without its final response. */
   private void failOverdue(InFlightExchange exchange) {
-    if (exchange.isOpen()) {
+    if (exchange.isAwaitingResponse()) {
       ProxyLogger.LOGGER.warning("request overdue: id=" + exchange.id());
       fail(exchange, HttpResponseStatus.GATEWAY_TIMEOUT);
     }
   }
 
   private void clientDisconnected(InFlightExchange exchange) {
-    if (exchange.isOpen()) {
+    if (exchange.isAwaitingResponse()) {
       exchange.close();
       enqueue(exchange, () -> policy.clientDisconnected(clock.now(), exchange.id()));
-      removeIfSettled(exchange);
+      removeIfFinished(exchange);
     }
   }
 
-  /** Whether an attempt is still of use; notices a disconnect that the event loop has not read. */
-  private boolean isAttemptWanted(InFlightExchange exchange) {
-    if (exchange.isOpen() && !exchange.isClientConnected()) {
+  /** Whether the client still waits; handles a disconnect that the event loop has not read yet. */
+  private boolean isClientWaiting(InFlightExchange exchange) {
+    if (exchange.isAwaitingResponse() && !exchange.isClientConnected()) {
       clientDisconnected(exchange);
     }
-    return exchange.isOpen();
+    return exchange.isAwaitingResponse();
   }
 
-  /** Forgets an exchange and releases its message once nothing more can happen to it. */
-  private void removeIfSettled(InFlightExchange exchange) {
-    if (exchange.isSettled() && exchanges.remove(exchange.id()) != null) {
+  /** Removes an exchange and releases its request, if it is closed and no attempt is running. */
+  private void removeIfFinished(InFlightExchange exchange) {
+    if (exchange.isFinished() && exchanges.remove(exchange.id()) != null) {
       exchange.request().release();
     }
   }
@@ -245,9 +245,9 @@
     double now = clock.now();
     UpstreamAttemptListener listener =
         new UpstreamAttemptListener(exchange, exchange.beginAttempt(), endpointId, now);
-    if (!isAttemptWanted(exchange)
+    if (!isClientWaiting(exchange)
         || now >= exchange.deadlineMillis()
-        || listener.number >= settings.limits().maxAttempts()) {
+        || listener.attemptNumber >= settings.limits().maxAttempts()) {
       exchange.addAttempt(null);
       listener.attemptFinished(AttemptOutcome.NOT_SENT, null);
       return;
@@ -259,18 +259,18 @@
     exchange.addAttempt(upstreams.send(endpointId, exchange.request(), deadlineMillis, listener));
   }
 
-  /** Reports the end of one attempt to the policy. */
+  /** Passes the result of one attempt on to the client, if it succeeded, and to the policy. */
   private final class UpstreamAttemptListener implements UpstreamClient.Listener {
 
     private final InFlightExchange exchange;
-    private final int number;
+    private final int attemptNumber;
     private final long endpointId;
     private final double sentAtMillis;
 
     UpstreamAttemptListener(
-        InFlightExchange exchange, int number, long endpointId, double sentAtMillis) {
+        InFlightExchange exchange, int attemptNumber, long endpointId, double sentAtMillis) {
       this.exchange = exchange;
-      this.number = number;
+      this.attemptNumber = attemptNumber;
       this.endpointId = endpointId;
       this.sentAtMillis = sentAtMillis;
     }
@@ -278,7 +278,7 @@
     @Override
     public boolean isStillWanted() {
       discoveryReader.readIfLate();
-      return isAttemptWanted(exchange);
+      return isClientWaiting(exchange);
     }
 
     @Override
@@ -289,16 +289,16 @@
         exchange.respond(HttpResponseStatus.OK, response.content(), 0);
       }
       enqueue(exchange, () -> policy.attemptFinished(clock.now(), result(outcome, loadReport)));
-      removeIfSettled(exchange);
+      removeIfFinished(exchange);
     }
 
     private AttemptResult result(AttemptOutcome outcome, double[] loadReport) {
       return new AttemptResult(
           exchange.id(),
-          number,
+          attemptNumber,
           endpointId,
           outcome,
-          !exchange.isOpen(),
+          !exchange.isAwaitingResponse(),
           clock.now() - sentAtMillis,
           loadReport);
     }
@@ -327,15 +327,15 @@
     InFlightExchange exchange = exchanges.get(requestId);
     if (exchange != null) {
       exchange.respond(status, Unpooled.EMPTY_BUFFER, retryAfterMillis);
-      removeIfSettled(exchange);
+      removeIfFinished(exchange);
     }
   }
 
   @Override
-  public void cancelAttempt(long requestId, int attempt) {
+  public void cancelAttempt(long requestId, int attemptNumber) {
     InFlightExchange exchange = exchanges.get(requestId);
     if (exchange != null) {
-      exchange.cancelAttempt(attempt);
+      exchange.cancelAttempt(attemptNumber);
     }
   }
 
@@ -343,7 +343,7 @@
   public void checkHealth(long endpointId) {
     double sentAtMillis = clock.now();
     double deadlineMillis =
-        sentAtMillis + settings.limits().connectTimeoutMillis() * CONNECT_TIMEOUTS_PER_HEALTH_CHECK;
+        sentAtMillis + settings.limits().connectTimeoutMillis() * HEALTH_CHECK_TIMEOUT_FACTOR;
     upstreams.checkHealth(
         endpointId,
         deadlineMillis,
@@ -377,7 +377,7 @@
 
   @Override
   public void scheduleTimer(long token, double atMillis) {
-    // The id and not the exchange, which the timer would keep in memory until it is due.
+    // Captures the id, since a reference would keep the exchange in memory until the timer is due.
     long requestId = currentExchange == null ? 0 : currentExchange.id();
     loop.schedule(
         () -> enqueue(exchanges.get(requestId), () -> policy.timerExpired(clock.now(), token)),
@@ -385,10 +385,11 @@
         TimeUnit.NANOSECONDS);
   }
 
-  /** Instances of this deployment have no connection to each other. */
+  /** Drops the message: instances have no connections to each other. */
   @Override
   public void sendToPeer(int peerIndex, byte[] payload) {
-    ProxyLogger.LOGGER.warning("peer message dropped: peer=" + peerIndex);
+    ProxyLogger.LOGGER.warning(
+        "peer message dropped, instances are not connected to each other: peer=" + peerIndex);
   }
 
   @Override
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -26,37 +26,40 @@
 
 /**
  * The lifecycle of one load balancer instance: start, reload and graceful shutdown. Its parts run
- * on a single event loop thread, so nothing is locked; the methods of this class may be called on
- * any other thread.
+ * on a single event loop thread, so nothing is locked; the public methods of this class may be
+ * called on any other thread.
  */
 public final class ProxyServer {
 
-  /** How long a start waits for the first endpoint list of discovery. */
-  static final long FIRST_UPDATE_TIMEOUT_MILLIS = 500;
+  /** How long a start waits for the first endpoint list from discovery. */
+  static final long FIRST_ENDPOINT_LIST_TIMEOUT_MILLIS = 500;
 
-  // Netty's pool of direct memory: one arena for the one thread, in chunks of 512 KiB.
+  // Netty's pool of direct buffers: one arena for the one event loop thread, in chunks of 512 KiB.
   private static final int DIRECT_ARENAS = 1;
   private static final int PAGE_BYTES = 8_192;
   private static final int PAGES_PER_CHUNK_LOG2 = 6;
   private static final int CACHED_BUFFERS_PER_SIZE = 32;
 
-  /** How long clients may still open connections after SIGTERM. */
-  private static final long LATE_CONNECTIONS_MILLIS = 550;
+  /** After SIGTERM, clients may go on opening connections for this long. */
+  private static final long NEW_CONNECTIONS_AFTER_SIGTERM_MILLIS = 550;
 
-  /** SIGKILL follows SIGTERM after the longest deadline, at most this long, and some slack. */
-  private static final double MAX_SHUTDOWN_DEADLINE_MILLIS = 3_000;
+  /**
+   * SIGKILL follows SIGTERM after the longest deadline of a request class, but at most this time,
+   * plus 700 ms.
+   */
+  private static final double MAX_DEADLINE_BEFORE_SIGKILL_MILLIS = 3_000;
 
-  /** The part of that slack, which is 700 ms, that a shutdown uses. */
+  /** The part of those 700 ms that a shutdown uses; the rest is a margin before SIGKILL. */
   private static final double SHUTDOWN_SLACK_MILLIS = 550;
 
-  /** The end of a shutdown, in which clients are asked to close their connections. */
+  /** The last part of a shutdown, in which responses ask clients to close their connections. */
   private static final double CLOSING_PHASE_MILLIS = 1_650;
 
   private static final long SHUTDOWN_POLL_MILLIS = 10;
 
   private static final long LATENESS_REPORT_INTERVAL_MILLIS = 5_000;
 
-  /** Iterations of the event loop up to this long are not worth a report. */
+  /** An interval is reported only if an iteration of the event loop in it took longer than this. */
   private static final long LATENESS_REPORT_THRESHOLD_MILLIS = 100;
 
   private final ProxyConfig config;
@@ -75,7 +78,8 @@
     this.config = config;
     this.loop = loop;
     this.monitor = monitor;
-    // Called by the event loop and the reload thread: a race can only miscount dropped lines.
+    // Used by the event loop and the reload thread without a lock: a race can only make its count
+    // of dropped log lines wrong.
     ProxyLogger.LOGGER.setFilter(new LogRateLimiter(clock::now));
     PooledByteBufAllocator allocator = newAllocator();
     DescriptorBudget descriptors = new DescriptorBudget(config.maxDescriptors());
@@ -111,30 +115,31 @@
         false);
   }
 
-  /** Starts an instance with the policy that serves, see the other overload. */
+  /** Starts an instance with the policy that production uses, see the other overload. */
   static ProxyServer prepare(ProxyConfig config) throws InterruptedException {
-    return prepare(config, LatencyWeightedPolicy::new, FIRST_UPDATE_TIMEOUT_MILLIS);
+    return prepare(config, LatencyWeightedPolicy::new, FIRST_ENDPOINT_LIST_TIMEOUT_MILLIS);
   }
 
   /**
    * Starts an instance that accepts no clients yet. The endpoint list of the configuration may be
-   * outdated, so unless the policy itself asks for updates this waits for the first list.
+   * outdated, so this waits for the first list from discovery, unless the settings leave it to the
+   * policy when to ask for one.
    *
-   * @param firstUpdateTimeoutMillis how long to wait for it at most
+   * @param firstEndpointListTimeoutMillis how long to wait for that list at most
    */
   static ProxyServer prepare(
       ProxyConfig config,
       Function<PolicyActions, LoadBalancingPolicy> policyFactory,
-      long firstUpdateTimeoutMillis)
+      long firstEndpointListTimeoutMillis)
       throws InterruptedException {
     EventLoopMonitor monitor = new EventLoopMonitor(System::nanoTime);
     ProxyServer server = new ProxyServer(config, newEventLoop(monitor), monitor, policyFactory);
     server.loop.submit(server::start).sync();
     if (!config.settings().explicitWatch()
-        && !server.driver.awaitFirstUpdate(firstUpdateTimeoutMillis)) {
+        && !server.driver.awaitFirstEndpointList(firstEndpointListTimeoutMillis)) {
       ProxyLogger.LOGGER.warning(
           "no endpoint list from discovery, using the configured one: waited_ms="
-              + firstUpdateTimeoutMillis);
+              + firstEndpointListTimeoutMillis);
     }
     return server;
   }
@@ -173,17 +178,17 @@
   }
 
   /**
-   * Accepts clients from now on.
+   * Listens on the configured address and accepts clients from now on.
    *
-   * @throws ConfigurationException if the configured address cannot be listened on
+   * @throws ConfigurationException if the address cannot be bound
    */
   void serve() throws ConfigurationException, InterruptedException {
     frontend.bind();
-    // The first line loads the classes of logging, which would fail later with no descriptor left.
+    // The first log line loads the logging classes; later there may be no descriptor left for that.
     ProxyLogger.LOGGER.info("serving: name=" + config.name());
   }
 
-  /** The address that it listens on. */
+  /** The address that the instance listens on. */
   public InetSocketAddress address() {
     return frontend.address();
   }
@@ -194,9 +199,9 @@
   }
 
   /**
-   * Shuts down as SIGTERM asks for; the process may end once this returns. Clients may have no
-   * other instance to go to while several restart, so they are served as before for as long as
-   * their requests can still be answered, and only then asked to close their connections.
+   * Carries out the shutdown that SIGTERM asks for; the process may end once this returns. Several
+   * instances may restart at once and leave clients no other to go to. Therefore clients are served
+   * as before until the closing phase, and only then asked to close their connections.
    */
   void shutDownGracefully() throws InterruptedException {
     double longestDeadlineMillis =
@@ -204,47 +209,50 @@
             .mapToDouble(RequestClass::deadlineMillis)
             .max()
             .orElse(0);
-    double startedAt = clock.now();
-    double endsAt =
-        startedAt
-            + Math.min(longestDeadlineMillis, MAX_SHUTDOWN_DEADLINE_MILLIS)
+    double startedAtMillis = clock.now();
+    double endsAtMillis =
+        startedAtMillis
+            + Math.min(longestDeadlineMillis, MAX_DEADLINE_BEFORE_SIGKILL_MILLIS)
             + SHUTDOWN_SLACK_MILLIS;
     Thread.sleep(
-        (long) Math.max(LATE_CONNECTIONS_MILLIS, endsAt - startedAt - CLOSING_PHASE_MILLIS));
+        (long)
+            Math.max(
+                NEW_CONNECTIONS_AFTER_SIGTERM_MILLIS,
+                endsAtMillis - startedAtMillis - CLOSING_PHASE_MILLIS));
     loop.submit(frontend::beginGracefulShutdown).sync();
-    boolean done = closeIdleClientConnections();
-    while (!done && clock.now() < endsAt) {
+    boolean allClosed = closeIdleClientConnections();
+    while (!allClosed && clock.now() < endsAtMillis) {
       Thread.sleep(SHUTDOWN_POLL_MILLIS);
-      done = closeIdleClientConnections();
+      allClosed = closeIdleClientConnections();
     }
     loop.submit(this::forceShutdown).sync();
   }
 
-  /** Closes idle client connections; returns whether no connection of a client is left. */
+  /** Closes idle client connections; returns whether no client connection is left. */
   boolean closeIdleClientConnections() throws InterruptedException {
     return loop.submit(frontend::closeIdleConnections).sync().getNow();
   }
 
   /**
-   * Gives every request that has come so far its final response, as the end of the process would
-   * lose it: pipelined requests are rejected, those in flight fail. To be called on the event loop.
+   * Gives every request received so far its final response, since the process is about to end:
+   * pipelined requests are rejected, and requests in flight fail. Called on the event loop.
    */
   void forceShutdown() {
     frontend.forceShutdown();
-    driver.failOpenRequests();
+    driver.failUnansweredRequests();
   }
 
-  /** Takes over the settings that can change at runtime; returns at once. */
-  public void reload(ProxyConfig changed) {
-    loop.execute(() -> driver.reconfigure(changed));
+  /** Applies the settings that can change at runtime; returns before they have taken effect. */
+  public void reload(ProxyConfig newConfig) {
+    loop.execute(() -> driver.reconfigure(newConfig));
   }
 
-  /** Runs an action of a test on the event loop and waits for its result. */
+  /** For tests: runs an action on the event loop and returns its result. */
   public <T> T onLoop(BiFunction<Frontend, UpstreamClient, T> action) throws InterruptedException {
     return loop.submit(() -> action.apply(frontend, upstreams)).sync().getNow();
   }
 
-  /** Stops the event loop at once, whatever is in flight; for tests. */
+  /** For tests: stops the event loop at once, even with requests in flight. */
   void kill() {
     loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
--- a/src/main/java/loadbalancer/proxy/frontend/BadRequestException.java
+++ b/src/main/java/loadbalancer/proxy/frontend/BadRequestException.java
@@ -2,7 +2,10 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** A request that violates the protocol, with the status and the message of its error response. */
+/**
+ * Thrown for a request that violates the protocol. Holds the status of its error response; the
+ * exception's message is the body of that response.
+ */
 final class BadRequestException extends Exception {
 
   private static final long serialVersionUID = 1;
--- a/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
@@ -22,24 +22,27 @@
 import loadbalancer.proxy.logging.ProxyLogger;
 
 /**
- * One client connection. One request at a time is in flight; pipelined ones wait for its response.
- * Times are in milliseconds of the event loop's clock.
+ * One client connection. One request at a time is in flight; pipelined requests wait until it has
+ * its response. Times are in milliseconds of the instance's clock.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter
     implements RequestDispatcher.Responder {
 
   private enum State {
-    /** Requests are answered. */
+    /** Requests are read and answered. */
     SERVING,
-    /** The last response is being written; nothing that arrives is answered any more. */
+    /** The last response is being written; further requests are discarded. */
     WRITING_LAST_RESPONSE,
-    /** The last response is written; the client has a while to close its side. */
+    /** The last response is written; the client has a limited time to close its side. */
     LINGERING
   }
 
   private static final String HEALTH_CHECK_PATH = "/_health";
 
-  /** More than the kernel buffers for a connection. */
+  /**
+   * Limits what {@link #isConnected} reads. More than the kernel buffers for a connection, so that
+   * only a client that goes on sending reaches it.
+   */
   private static final int MAX_UNREAD_BYTES = 16 * 1024 * 1024;
 
   /** Longest time from the first byte of a request to its last. */
@@ -51,7 +54,7 @@
   /** Longest time from a response to the first byte of the next request. */
   private static final double KEEP_ALIVE_TIMEOUT_MILLIS = 3_000;
 
-  /** Longest time for the client to take a response off the connection. */
+  /** Longest time for the client to receive a response and, after the last one, to disconnect. */
   private static final double WRITE_TIMEOUT_MILLIS = 10_000;
 
   private final Frontend frontend;
@@ -65,18 +68,20 @@
   private final ResponseWriter responseWriter;
   private final LingeringClose lingeringClose;
 
-  /** The earliest time at which the connection may have been made. */
+  /** The earliest time at which the client may have connected; the accept may have come later. */
   private final double earliestConnectAtMillis;
 
-  /** The event loop's iteration that accepted the connection. */
+  /** The number of the event loop's iteration that accepted the connection. */
   private final long acceptIteration;
 
   private State state = State.SERVING;
 
-  /** Answered after the requests that came before it; nothing that follows it is read. */
+  /** Answered after the requests before it, and input after it is discarded; null if none. */
   private BadRequestException protocolViolation;
 
+  /** Whether {@link #processNext} is running, which may cause a response that calls it again. */
   private boolean processing;
+
   private boolean hasResponded;
   private double lastActivityAtMillis;
 
@@ -108,7 +113,7 @@
     channel.close();
   }
 
-  /** When it was accepted, had its last response, or began the request that is arriving. */
+  /** When it was accepted, last responded to, or began to receive the request that is arriving. */
   double lastActivityAtMillis() {
     return lastActivityAtMillis;
   }
@@ -127,7 +132,7 @@
   }
 
   /**
-   * Closes the connection if it is idle and the kernel holds no unread request, which would be
+   * Closes the connection if it is idle and no request waits unread in the kernel, which would be
    * lost.
    *
    * @return whether the connection is closed
@@ -142,7 +147,7 @@
     return !channel.isOpen();
   }
 
-  /** Stops reading requests: only those in flight and pending responses keep it open. */
+  /** Closes the connection unless a response is due; a request received in part is rejected. */
   void beginForcedShutdown() {
     DescriptorBudget.readNow(channel);
     if (decoder.hasPartialRequest() && protocolViolation == null && state == State.SERVING) {
@@ -157,38 +162,39 @@
   }
 
   /**
-   * Reads until the kernel holds no more, as the end of the stream lies behind all that the client
-   * has sent. A client that sends without end counts as connected. While a request is being
-   * dispatched, the check before it still holds.
+   * Reads all that the kernel holds: a disconnect shows only after the bytes sent before it. A
+   * client that sends without end counts as connected. While a request is being dispatched, nothing
+   * is read, since the connection was checked just before the dispatch.
    */
   @Override
   public boolean isConnected() {
     if (currentRequest.isBeingDispatched()) {
       return channel.isOpen();
     }
-    long first = decoder.receivedBytes();
-    long before = -1;
+    long receivedAtStart = decoder.receivedBytes();
+    long receivedBeforeRead = -1;
     while (channel.isOpen()
-        && decoder.receivedBytes() > before
-        && decoder.receivedBytes() - first < MAX_UNREAD_BYTES) {
-      before = decoder.receivedBytes();
+        && decoder.receivedBytes() > receivedBeforeRead
+        && decoder.receivedBytes() - receivedAtStart < MAX_UNREAD_BYTES) {
+      receivedBeforeRead = decoder.receivedBytes();
       DescriptorBudget.readNow(channel);
     }
     return channel.isOpen();
   }
 
-  /** Enforces the timeouts. */
+  /** Closes the connection, or rejects the request received in part, if its timeout is over. */
   void checkTimeouts(double now) {
-    double age = now - lastActivityAtMillis;
+    double millisSinceActivity = now - lastActivityAtMillis;
     if (state != State.SERVING || responseWriter.hasPendingWrites()) {
-      if (age > WRITE_TIMEOUT_MILLIS) {
+      if (millisSinceActivity > WRITE_TIMEOUT_MILLIS) {
         channel.close();
       }
     } else if (decoder.hasPartialRequest()) {
-      if (!currentRequest.isPresent() && age > REQUEST_TIMEOUT_MILLIS) {
+      if (!currentRequest.isPresent() && millisSinceActivity > REQUEST_TIMEOUT_MILLIS) {
         rejectPartialRequest("too slow");
       }
-    } else if (age > (hasResponded ? KEEP_ALIVE_TIMEOUT_MILLIS : FIRST_REQUEST_TIMEOUT_MILLIS)) {
+    } else if (millisSinceActivity
+        > (hasResponded ? KEEP_ALIVE_TIMEOUT_MILLIS : FIRST_REQUEST_TIMEOUT_MILLIS)) {
       closeIfIdle();
     }
   }
@@ -209,7 +215,7 @@
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     try {
       if (message instanceof ByteBuf bytes) {
-        lingeringClose.discard(bytes);
+        lingeringClose.countDiscarded(bytes);
       } else if (state == State.SERVING && protocolViolation == null) {
         assemble(message);
       }
@@ -223,7 +229,7 @@
   private void assemble(Object message) throws BadRequestException {
     if (message instanceof HttpRequest head) {
       assembler.begin(head);
-      // A client that pipelines sends the body without waiting to be asked for it.
+      // A client that pipelines sends the body without waiting for this interim response.
       if (HttpUtil.is100ContinueExpected(head)
           && !currentRequest.isPresent()
           && pipeline.isEmpty()) {
@@ -241,7 +247,7 @@
   private void enqueue(FullHttpRequest request) throws BadRequestException {
     pipeline.add(request, earliestArrivalOfReadBytes());
     if (pipeline.isOverLimit(currentRequest.isPresent())) {
-      // The request in flight is dropped too: it could delay the error until its deadline.
+      // Abandons the request in flight, or the error could be delayed until that one's deadline.
       pipeline.clear();
       currentRequest.abandon();
       throw new BadRequestException("too many requests sent ahead");
@@ -249,8 +255,9 @@
   }
 
   /**
-   * The earliest time at which the bytes that are read now may have arrived, from which a request's
-   * deadline runs. Bytes that are read right after the accept may have come with the connection.
+   * The earliest time at which the bytes that are read now may have arrived; a request's deadline
+   * counts from then. Bytes read in the iteration of the accept, or in the next, may have arrived
+   * as early as the connection, which may have waited to be accepted.
    */
   private double earliestArrivalOfReadBytes() {
     boolean justAccepted = monitor.iterationCount() - acceptIteration <= 1;
@@ -261,7 +268,7 @@
     return dispatcher.now() - monitor.longestWaitMillis();
   }
 
-  /** Begins requests only now, so that none is forwarded if there are too many of them. */
+  /** Processes requests only after the read: if they are too many, none is forwarded. */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
     processNext();
@@ -282,15 +289,15 @@
     processing = true;
     try {
       while (hasNext()) {
-        // The client may have disconnected while its request waited.
+        // The client may have disconnected while its request waited in the pipeline.
         if (!isConnected()) {
           return;
         }
-        PipelinedRequest next = pipeline.poll();
-        if (next == null) {
+        PipelinedRequest nextRequest = pipeline.poll();
+        if (nextRequest == null) {
           reject(protocolViolation);
         } else {
-          process(next.request(), next.arrivedAtMillis());
+          process(nextRequest.request(), nextRequest.arrivedAtMillis());
         }
       }
     } finally {
@@ -304,7 +311,7 @@
         && (protocolViolation != null || !pipeline.isEmpty());
   }
 
-  private void process(FullHttpRequest request, double arrivedAt) {
+  private void process(FullHttpRequest request, double arrivedAtMillis) {
     currentRequest.begin(request);
     if (request.uri().equals(HEALTH_CHECK_PATH) && request.method().equals(HttpMethod.GET)) {
       write(HttpResponseStatus.OK, Unpooled.EMPTY_BUFFER, 0);
@@ -315,13 +322,13 @@
       return;
     }
     try {
-      currentRequest.dispatch(arrivedAt);
+      currentRequest.dispatch(arrivedAtMillis);
     } catch (BadRequestException e) {
       reject(e);
     }
   }
 
-  /** Answers a protocol violation and closes, as the rest of the input can't be trusted. */
+  /** Writes an error response and closes: what follows a bad request can't be trusted. */
   private void reject(BadRequestException violation) {
     state = State.WRITING_LAST_RESPONSE;
     pipeline.clear();
@@ -334,7 +341,7 @@
     write(status, body.retain(), retryAfterMillis);
   }
 
-  /** Writes a response, whose body it takes over, and goes on to the next request. */
+  /** Writes a response, taking over one reference to its body, and processes the next request. */
   private void write(HttpResponseStatus status, ByteBuf body, double retryAfterMillis) {
     if (isLastResponse()) {
       state = State.WRITING_LAST_RESPONSE;
@@ -349,15 +356,15 @@
     } else {
       pipeline.clear();
     }
-    // Now idle, this connection may be evicted for a client that waits to be accepted.
+    // If now idle, this connection may be closed in favor of a client that waits to be accepted.
     frontend.resumeAccepting();
   }
 
   private boolean isLastResponse() {
-    // Requests that have arrived before a graceful shutdown are still answered.
-    boolean drained =
+    // During a shutdown, requests that have already arrived on the connection are still answered.
+    boolean noRequestLeftInShutdown =
         frontend.isShuttingDown() && pipeline.isEmpty() && !decoder.hasPartialRequest();
-    return state != State.SERVING || !currentRequest.wantsKeepAlive() || drained;
+    return state != State.SERVING || !currentRequest.wantsKeepAlive() || noRequestLeftInShutdown;
   }
 
   private void onAllWritten() {
@@ -367,7 +374,7 @@
     }
   }
 
-  /** Gives up the request in flight, as its client has disconnected. */
+  /** Abandons the request in flight because its client has disconnected. */
   void abandonCurrentRequest() {
     currentRequest.abandon();
   }
--- a/src/main/java/loadbalancer/proxy/frontend/ClientRequestDecoder.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ClientRequestDecoder.java
@@ -11,42 +11,46 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decodes requests and knows whether one has arrived in part. After a protocol violation it reads
- * on without decoding, since only reading tells that the client has disconnected.
+ * Decodes requests and keeps track of whether one has been received in part. After a protocol
+ * violation it goes on reading but discards the input, since only a read shows that the client has
+ * disconnected.
  */
 final class ClientRequestDecoder extends HttpRequestDecoder {
 
-  /** Bytes that are discarded between two pauses, so that one client can't occupy the loop. */
-  private static final int MAX_DISCARDED_BYTES = 4 * 1024 * 1024;
+  /** After discarding this much, reading pauses, so that one client can't occupy the event loop. */
+  private static final int DISCARDED_BYTES_BEFORE_PAUSE = 4 * 1024 * 1024;
 
   private static final long DISCARD_PAUSE_MILLIS = 40;
 
   private final Runnable onFirstByte;
   private boolean partialRequest;
   private boolean discarding;
+
+  /** Bytes discarded since the last pause. */
   private int discardedBytes;
+
   private long receivedBytes;
 
   /**
    * Creates a decoder.
    *
-   * @param onFirstByte called when the first byte of a request has arrived
+   * @param onFirstByte called when the first byte of a request has been received
    */
   ClientRequestDecoder(Runnable onFirstByte) {
     this.onFirstByte = onFirstByte;
   }
 
-  /** Whether bytes have arrived since the last complete request. */
+  /** Whether bytes have been received since the last complete request. */
   boolean hasPartialRequest() {
     return partialRequest;
   }
 
-  /** All bytes that the connection has received. */
+  /** The number of bytes that the connection has received in all. */
   long receivedBytes() {
     return receivedBytes;
   }
 
-  /** Decodes nothing from now on. */
+  /** From now on, input is discarded without being decoded. */
   void discardInput() {
     discarding = true;
   }
@@ -69,7 +73,7 @@
 
   private void pauseAfterDiscarding(Channel channel, int bytes) {
     discardedBytes += bytes;
-    if (discardedBytes > MAX_DISCARDED_BYTES) {
+    if (discardedBytes > DISCARDED_BYTES_BEFORE_PAUSE) {
       discardedBytes = 0;
       channel.config().setAutoRead(false);
       channel
@@ -89,9 +93,10 @@
     }
   }
 
-  /** Netty would drop the length of a message with both framings, and go on. */
+  /** Rejects the request, from which Netty would otherwise remove Content-Length and go on. */
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-    throw new IllegalArgumentException("both framings");
+    throw new IllegalArgumentException(
+        "request has both Content-Length and Transfer-Encoding: chunked");
   }
 }
--- a/src/main/java/loadbalancer/proxy/frontend/CurrentRequest.java
+++ b/src/main/java/loadbalancer/proxy/frontend/CurrentRequest.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import loadbalancer.proxy.protocol.ProtocolHeaders;
 
-/** The request of a connection that is processed at present, if any. */
+/** The request of a client connection that is being processed; a connection has one at most. */
 final class CurrentRequest {
 
   private final Frontend frontend;
@@ -14,10 +14,10 @@
 
   private FullHttpRequest request;
 
-  /** Identifies the request once it has passed validation. */
+  /** The ID of the request, once it has been reserved for it; null before. */
   private String requestId;
 
-  /** The request once {@link RequestDispatcher#dispatch} has returned. */
+  /** Set once {@link RequestDispatcher#dispatch} has returned without a response. */
   private RequestDispatcher.DispatchedRequest dispatched;
 
   CurrentRequest(Frontend frontend, RequestDispatcher dispatcher, ClientConnection connection) {
@@ -26,16 +26,16 @@
     this.connection = connection;
   }
 
-  /** Takes over a reference to the request that is processed from now on. */
-  void begin(FullHttpRequest begun) {
-    request = begun;
+  /** Begins to process a request; takes over one reference to it. */
+  void begin(FullHttpRequest newRequest) {
+    request = newRequest;
   }
 
   boolean isPresent() {
     return request != null;
   }
 
-  /** Whether it is processed but its dispatch has not returned. */
+  /** Whether a request is being processed whose dispatch has not returned yet. */
   boolean isBeingDispatched() {
     return request != null && dispatched == null;
   }
@@ -45,37 +45,44 @@
   }
 
   /**
-   * Validates the request and passes it on.
+   * Validates the request and passes it to the dispatcher.
    *
-   * @param arrivedAt when it arrived, in milliseconds of the event loop's clock
+   * @param arrivedAtMillis the earliest time at which the request may have arrived
+   * @throws BadRequestException if the request violates the protocol, or its ID is that of another
+   *     request in flight
    */
-  void dispatch(double arrivedAt) throws BadRequestException {
-    ValidatedRequest validated = frontend.validate(request, arrivedAt);
-    claim(validated.requestId());
+  void dispatch(double arrivedAtMillis) throws BadRequestException {
+    ValidatedRequest validated = frontend.validate(request, arrivedAtMillis);
+    reserveId(validated.requestId());
     RequestDispatcher.DispatchedRequest result =
         dispatcher.dispatch(validated::toClientRequest, request.retain(), connection);
-    // If the response is already written, the next request may be the current one.
-    if (result.isOpen()) {
+    // If the response was written during the dispatch, a later request may be the current one.
+    if (result.isAwaitingResponse()) {
       dispatched = result;
     }
   }
 
-  /** Reserves the request ID, which only one request in flight may have. */
-  private void claim(String claimedId) throws BadRequestException {
-    ClientConnection owner = frontend.connectionWaitingFor(claimedId);
+  /**
+   * Reserves an ID for the request.
+   *
+   * @throws BadRequestException ("is at work") if a request in flight has the same ID and its
+   *     client is still connected: IDs have to be unique among the requests in flight
+   */
+  private void reserveId(String newId) throws BadRequestException {
+    ClientConnection owner = frontend.connectionWaitingFor(newId);
     // A client that has disconnected may send its request again on another connection.
     if (owner != null && !owner.isConnected()) {
       owner.abandonCurrentRequest();
     }
-    if (frontend.connectionWaitingFor(claimedId) != null) {
+    if (frontend.connectionWaitingFor(newId) != null) {
       throw new BadRequestException(
           HttpResponseStatus.CONFLICT, ProtocolHeaders.REQUEST_ID + " is at work");
     }
-    requestId = claimedId;
-    frontend.onRequestStarted(claimedId, connection);
+    requestId = newId;
+    frontend.onRequestStarted(newId, connection);
   }
 
-  /** No request is current any more. */
+  /** Ends the processing of the request: releases it and its ID. */
   void finish() {
     if (requestId != null) {
       frontend.onRequestFinished(requestId);
@@ -88,7 +95,7 @@
     dispatched = null;
   }
 
-  /** Gives the request up because nobody waits for its response. */
+  /** Ends the processing of the request without a response, and notifies the dispatcher. */
   void abandon() {
     RequestDispatcher.DispatchedRequest abandoned = dispatched;
     finish();
--- a/src/main/java/loadbalancer/proxy/frontend/Frontend.java
+++ b/src/main/java/loadbalancer/proxy/frontend/Frontend.java
@@ -25,16 +25,16 @@
 import loadbalancer.proxy.logging.ProxyLogger;
 
 /**
- * Accepts client connections, enforces their timeouts and closes them at shutdown. A client that
- * violates the protocol, or sends nothing, can't hold memory or descriptors for long. All methods
- * but {@link #bind} and {@link #address} are called on the event loop.
+ * Accepts client connections, enforces their timeouts and closes them at shutdown, so that a client
+ * that violates the protocol or sends nothing can't hold memory or descriptors for long. All
+ * methods but {@link #bind} and {@link #address} are called on the event loop.
  */
 public final class Frontend {
 
   private enum ShutdownPhase {
-    /** Clients are served. */
+    /** The instance is not shutting down. */
     NONE,
-    /** Requests are served; each response may be the last one of its connection. */
+    /** Requests are served; a response closes its connection if no other request has arrived. */
     GRACEFUL,
     /** Requests in flight are served; all others are rejected. */
     FORCED
@@ -52,10 +52,10 @@
   private final RequestValidator validator;
   private final PipelineBudget pipelineBudget = new PipelineBudget();
 
-  /** Open connections; the one whose accept or last response is the longest ago comes first. */
+  /** Open connections, ordered by the time of their last response, or of their accept if none. */
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-  /** The connections that wait for a response, by request ID. */
+  /** The connections whose request is in flight, by the ID of that request. */
   private final Map<String, ClientConnection> connectionsByRequestId = new HashMap<>();
 
   private Channel serverChannel;
@@ -65,9 +65,9 @@
    * Creates a frontend that does not listen yet.
    *
    * @param loop the event loop of all connections
-   * @param descriptors limits the connections that are accepted
-   * @param dispatcher receives the requests
-   * @param monitor watches {@code loop}
+   * @param descriptors limits the number of accepted connections
+   * @param dispatcher receives the validated requests
+   * @param monitor measures how late {@code loop} is
    */
   public Frontend(
       EventLoop loop,
@@ -89,7 +89,7 @@
   /**
    * Listens on the configured address and begins to accept clients.
    *
-   * @throws ConfigurationException if the address can't be bound
+   * @throws ConfigurationException if the address cannot be bound
    */
   public void bind() throws ConfigurationException, InterruptedException {
     ServerBootstrap server =
@@ -120,14 +120,16 @@
     return (InetSocketAddress) serverChannel.localAddress();
   }
 
-  /** From now on responses ask clients to close their connections. */
+  /** From now on, a response with no other request behind it asks the client to disconnect. */
   public void beginGracefulShutdown() {
     if (shutdownPhase == ShutdownPhase.NONE) {
       shutdownPhase = ShutdownPhase.GRACEFUL;
     }
   }
 
-  /** Closes idle connections and returns whether none is left, so that the process may end. */
+  /**
+   * Closes idle connections; returns whether no connection is left, so that the process may end.
+   */
   public boolean closeIdleConnections() {
     acceptPending();
     for (ClientConnection connection : new ArrayList<>(connections)) {
@@ -137,8 +139,9 @@
   }
 
   /**
-   * From now on no request is forwarded. Idle connections are closed, partial requests rejected;
-   * pipelined and later requests are rejected once the request in flight has its response.
+   * From now on, no request is forwarded. Idle connections are closed and requests received in part
+   * are rejected; pipelined and later requests are rejected once the one in flight has its
+   * response.
    */
   public void forceShutdown() {
     shutdownPhase = ShutdownPhase.FORCED;
@@ -148,17 +151,17 @@
     }
   }
 
-  /** Accepts all clients in the backlog. */
+  /** Accepts all clients in the backlog, unless shutdown began before the address was bound. */
   private void acceptPending() {
-    int before = -1;
-    // One read accepts several clients. SIGTERM may arrive before the address is bound.
-    while (serverChannel != null && before < connections.size()) {
-      before = connections.size();
+    int countBeforeRead = -1;
+    // One read accepts several clients, but not always all of them.
+    while (serverChannel != null && countBeforeRead < connections.size()) {
+      countBeforeRead = connections.size();
       DescriptorBudget.readNow(serverChannel);
     }
   }
 
-  /** Enforces the connections' timeouts at the given time. */
+  /** Enforces the timeouts of all connections as of the given time, in milliseconds. */
   void checkTimeouts(double now) {
     for (ClientConnection connection : new ArrayList<>(connections)) {
       connection.checkTimeouts(now);
@@ -167,9 +170,9 @@
   }
 
   /**
-   * Accepts clients again if there are descriptors for them. To accept one for each that leaves,
-   * descriptors or not, could use up the process's descriptors, without which the virtual machine
-   * can't even load a class.
+   * Resumes accepting clients if the descriptor budget has room for one. Accepting a client for
+   * each one that disconnects, whatever the budget, could use up the descriptors of the process,
+   * and without a free descriptor the JVM can't even load a class.
    */
   void resumeAccepting() {
     if (!serverChannel.config().isAutoRead() && descriptors.canAcceptClient(dispatcher.now())) {
@@ -177,12 +180,15 @@
     }
   }
 
-  /** Closes the connection that has been idle or lingering for longest, since before a time. */
-  private boolean evictIdle(double before) {
+  /**
+   * Closes the least recently used of the idle or lingering connections whose last activity was
+   * before the given time; returns whether there was one.
+   */
+  private boolean evictIdle(double activeBeforeMillis) {
     for (ClientConnection connection : new ArrayList<>(connections)) {
-      // A closed connection stays listed until its event; to count it again would free nothing.
+      // A closed connection stays in the set until onClosed; choosing it would free no descriptor.
       if (connection.isOpen()
-          && connection.lastActivityAtMillis() < before
+          && connection.lastActivityAtMillis() < activeBeforeMillis
           && (connection.isLingering() || connection.closeIfIdle())) {
         connection.close();
         return true;
@@ -196,7 +202,7 @@
 
     @Override
     protected void initChannel(Channel channel) {
-      // Needed before the first accepted client can disconnect, which may be before bind returns.
+      // Not left to bind(): onClosed needs it, and a client may disconnect before bind() goes on.
       serverChannel = channel.parent();
       ClientConnection connection =
           new ClientConnection(Frontend.this, dispatcher, monitor, channel);
@@ -218,12 +224,12 @@
     descriptors.track(channel);
     connections.add(connection);
     if (!descriptors.canAcceptClient(connection.lastActivityAtMillis())) {
-      // Netty stops accepting for a second after it has failed for want of a descriptor.
+      // Stops in time: if an accept fails for lack of a descriptor, Netty pauses for a second.
       serverChannel.config().setAutoRead(false);
     }
   }
 
-  /** Moves the connection behind all others in the order of eviction. */
+  /** Makes the connection the last one in the order of eviction. */
   void onResponse(ClientConnection connection) {
     connections.remove(connection);
     connections.add(connection);
@@ -246,12 +252,13 @@
     return pipelineBudget;
   }
 
-  /** Validates a request that arrived at the given time. */
-  ValidatedRequest validate(FullHttpRequest request, double arrivedAt) throws BadRequestException {
-    return validator.read(request, arrivedAt, monitor.recentLatenessMillis());
+  /** Validates a request that may have arrived as early as the given time. */
+  ValidatedRequest validate(FullHttpRequest request, double arrivedAtMillis)
+      throws BadRequestException {
+    return validator.validate(request, arrivedAtMillis, monitor.recentLatenessMillis());
   }
 
-  /** Returns the connection that waits for the response to a request, or null. */
+  /** Returns the connection that waits for the response to a request; null if there is none. */
   ClientConnection connectionWaitingFor(String requestId) {
     return connectionsByRequestId.get(requestId);
   }
--- a/src/main/java/loadbalancer/proxy/frontend/LingeringClose.java
+++ b/src/main/java/loadbalancer/proxy/frontend/LingeringClose.java
@@ -7,15 +7,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Closes a connection after its last response. To close while the client still sends would reset
- * the connection, and the client could lose the response; so the output ends first, and what the
- * client sends is discarded until it closes too or its time is over.
+ * Closes a connection after its last response. To close it at once while the client still sends
+ * would reset it, and the client could lose the response. Therefore only the output is shut down
+ * first, and input is discarded until the client closes its side or a timeout expires.
  */
 final class LingeringClose {
 
+  /** How long the client may take to close its side. */
   private static final long TIMEOUT_MILLIS = 500;
 
-  /** Reading stops after so much, so that an endless sender can't occupy the event loop. */
+  /** After discarding this much, reading stops, so that an endless sender can't occupy the loop. */
   private static final int MAX_DISCARDED_BYTES = 1024 * 1024;
 
   private final Channel channel;
@@ -25,14 +26,15 @@
   /**
    * Prepares the close of a connection.
    *
-   * @param decoder removed from the pipeline when the close begins; bytes then reach {@link
-   *     #discard}
+   * @param decoder removed from the channel's pipeline when the close begins; its owner then passes
+   *     the bytes that arrive to {@link #countDiscarded}
    */
   LingeringClose(Channel channel, ChannelHandler decoder) {
     this.channel = channel;
     this.decoder = decoder;
   }
 
+  /** Shuts the output down and starts the timeout; does nothing if the channel is closed. */
   void begin() {
     if (!channel.isActive()) {
       return;
@@ -45,8 +47,8 @@
     }
   }
 
-  /** Counts bytes that arrive during the close; they stay the caller's to release. */
-  void discard(ByteBuf bytes) {
+  /** Counts bytes that arrived during the close; the caller releases them. */
+  void countDiscarded(ByteBuf bytes) {
     discardedBytes += bytes.readableBytes();
     if (discardedBytes > MAX_DISCARDED_BYTES) {
       channel.config().setAutoRead(false);
--- a/src/main/java/loadbalancer/proxy/frontend/PipelineBudget.java
+++ b/src/main/java/loadbalancer/proxy/frontend/PipelineBudget.java
@@ -1,6 +1,6 @@
 package loadbalancer.proxy.frontend;
 
-/** Limits the memory of pipelined requests over all client connections. */
+/** Limits the memory that the pipelined requests of all client connections hold together. */
 final class PipelineBudget {
 
   private static final int MAX_PIPELINED_BYTES = 8 * 1024 * 1024;
--- a/src/main/java/loadbalancer/proxy/frontend/RequestAssembler.java
+++ b/src/main/java/loadbalancer/proxy/frontend/RequestAssembler.java
@@ -12,21 +12,22 @@
 import java.util.Optional;
 import loadbalancer.proxy.protocol.ProtocolHeaders;
 
-/** Puts a request together from its head and the parts of its body. */
+/** Assembles a complete request from its head and the chunks of its body. */
 final class RequestAssembler {
 
   private final Channel channel;
 
-  /** The request that is arriving, and its body so far; null between two requests. */
+  /** The head of the request that is arriving; null between two requests. */
   private HttpRequest head;
 
+  /** The part of its body that has been received; null between two requests. */
   private ByteBuf body;
 
   RequestAssembler(Channel channel) {
     this.channel = channel;
   }
 
-  /** Begins a request after validating its head. */
+  /** Validates the head of a request and begins to assemble the request. */
   void begin(HttpRequest newHead) throws BadRequestException {
     RequestHeadValidator.validate(newHead);
     head = newHead;
@@ -34,9 +35,10 @@
   }
 
   /**
-   * Appends a part of the body, whose reference stays with the caller.
+   * Appends a chunk of the body; the caller remains the one to release the chunk.
    *
-   * @return the request, once it is complete; its reference goes to the caller
+   * @return the request if it is complete now; the caller has to release it
+   * @throws BadRequestException if the chunk is malformed or the body exceeds its limit
    */
   Optional<FullHttpRequest> append(HttpContent content) throws BadRequestException {
     if (head == null) {
@@ -49,15 +51,15 @@
     return content instanceof LastHttpContent ? Optional.of(complete()) : Optional.empty();
   }
 
-  private void appendToBody(ByteBuf part) throws BadRequestException {
-    if (body.readableBytes() + part.readableBytes() > ProtocolHeaders.MAX_BODY_BYTES) {
+  private void appendToBody(ByteBuf chunk) throws BadRequestException {
+    if (body.readableBytes() + chunk.readableBytes() > ProtocolHeaders.MAX_BODY_BYTES) {
       throw RequestHeadValidator.bodyTooLarge();
     }
-    if (part.isReadable()) {
+    if (chunk.isReadable()) {
       if (body.maxCapacity() == 0) {
-        body = channel.alloc().buffer(part.readableBytes(), ProtocolHeaders.MAX_BODY_BYTES);
+        body = channel.alloc().buffer(chunk.readableBytes(), ProtocolHeaders.MAX_BODY_BYTES);
       }
-      body.writeBytes(part);
+      body.writeBytes(chunk);
     }
   }
 
@@ -75,7 +77,7 @@
     return request;
   }
 
-  /** Drops the request that has arrived in part, if any. */
+  /** Discards the request that has been received in part, if any. */
   void reset() {
     if (body != null) {
       body.release();
--- a/src/main/java/loadbalancer/proxy/frontend/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/frontend/RequestDispatcher.java
@@ -7,47 +7,48 @@
 import loadbalancer.model.ClientRequest;
 
 /**
- * What client connections need of the process that they belong to. All methods are called on the
+ * Receives the requests of client connections and has them answered. All methods are called on the
  * event loop.
  */
 public interface RequestDispatcher {
 
-  /** The time in milliseconds, see {@link loadbalancer.proxy.eventloop.Clock}. */
+  /** The current time in milliseconds, see {@link loadbalancer.proxy.eventloop.Clock}. */
   double now();
 
   /**
-   * Accepts a request and takes over one reference to {@code message}. The responder may be called
-   * before this returns.
+   * Accepts a validated request. The responder may be called before this returns.
    *
-   * @param description builds the request from the number that it is given
+   * @param requestForId builds what the policy is told of the request; its argument is the id that
+   *     the dispatcher assigns to the request
+   * @param message the request as it is forwarded; one reference to it is taken over
    */
   DispatchedRequest dispatch(
-      Function<Long, ClientRequest> description, FullHttpRequest message, Responder responder);
+      Function<Long, ClientRequest> requestForId, FullHttpRequest message, Responder responder);
 
-  /** A request that was accepted. */
+  /** A request that the dispatcher has accepted, as the client connection refers to it. */
   interface DispatchedRequest {
 
     /** Whether its client still waits for the final response. */
-    boolean isOpen();
+    boolean isAwaitingResponse();
 
-    /** The client has closed its connection; nothing is owed any more. */
+    /** Notifies the dispatcher that the client has disconnected and needs no response any more. */
     void clientDisconnected();
   }
 
-  /** The client that waits for a response. */
+  /** The connection of the client that waits for the response to a request. */
   interface Responder {
 
     /**
      * Writes the final response; called at most once.
      *
-     * @param body not to be kept after this returns
-     * @param retryAfterMillis when to come back, in milliseconds; 0 for no advice
+     * @param body not released by this method, which retains it if needed
+     * @param retryAfterMillis the time after which the client is advised to retry; 0 for no advice
      */
     void respond(HttpResponseStatus status, ByteBuf body, double retryAfterMillis);
 
     /**
-     * Whether the client is still connected as far as the kernel knows, which the event loop may
-     * not have been told yet.
+     * Whether the client is still connected; this also counts a disconnect that the kernel has
+     * received but the event loop has not handled yet.
      */
     boolean isConnected();
   }
--- a/src/main/java/loadbalancer/proxy/frontend/RequestHeadValidator.java
+++ b/src/main/java/loadbalancer/proxy/frontend/RequestHeadValidator.java
@@ -11,8 +11,8 @@
 import loadbalancer.proxy.protocol.ProtocolHeaders;
 
 /**
- * Validates a request's head before its body arrives. The end of the body has to be unambiguous, or
- * an upstream could read part of it as another request (request smuggling).
+ * Validates the head of a request before its body arrives. The length of the body has to be
+ * unambiguous, or an upstream could take part of the body for another request (request smuggling).
  */
 final class RequestHeadValidator {
 
@@ -20,7 +20,13 @@
 
   private RequestHeadValidator() {}
 
-  /** Throws the error to respond with if the head is malformed or not supported. */
+  /**
+   * Validates a head.
+   *
+   * @throws BadRequestException if the head is malformed, is not of HTTP's major version 1 ("not
+   *     HTTP/1.1"), leaves the length of the body ambiguous, announces a body over the limit, or
+   *     has an Expect header other than 100-continue ("unknown expectation")
+   */
   static void validate(HttpRequest head) throws BadRequestException {
     if (!head.decoderResult().isSuccess()) {
       throw malformed(head.decoderResult().cause());
@@ -41,6 +47,7 @@
         HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
   }
 
+  /** The error for a head that Netty's decoder refused; its status depends on the reason. */
   private static BadRequestException malformed(Throwable cause) {
     HttpResponseStatus status = HttpResponseStatus.BAD_REQUEST;
     if (cause instanceof TooLongHttpLineException) {
@@ -51,20 +58,27 @@
     return new BadRequestException(status, "malformed HTTP");
   }
 
+  /**
+   * Validates the headers that give the length of the body.
+   *
+   * @throws BadRequestException if Transfer-Encoding occurs with Content-Length, with another value
+   *     than chunked or in HTTP/1.0 ("the end of the body is in doubt"), if Content-Length is not a
+   *     number of 1 to 18 digits ("Content-Length is no length"), or if the body is too large
+   */
   private static void validateBodyLength(HttpRequest head) throws BadRequestException {
     HttpHeaders headers = head.headers();
-    String coding = HeaderValues.single(headers, HttpHeaderNames.TRANSFER_ENCODING);
-    String length = HeaderValues.single(headers, HttpHeaderNames.CONTENT_LENGTH);
-    if (coding != null
-        && (length != null
-            || !coding.strip().equalsIgnoreCase("chunked")
+    String transferEncoding = HeaderValues.single(headers, HttpHeaderNames.TRANSFER_ENCODING);
+    String contentLength = HeaderValues.single(headers, HttpHeaderNames.CONTENT_LENGTH);
+    if (transferEncoding != null
+        && (contentLength != null
+            || !transferEncoding.strip().equalsIgnoreCase("chunked")
             || head.protocolVersion().equals(HttpVersion.HTTP_1_0))) {
       throw new BadRequestException("the end of the body is in doubt");
     }
-    if (length != null && !DIGITS.matcher(length).matches()) {
+    if (contentLength != null && !DIGITS.matcher(contentLength).matches()) {
       throw new BadRequestException("Content-Length is no length");
     }
-    if (length != null && Long.parseLong(length) > ProtocolHeaders.MAX_BODY_BYTES) {
+    if (contentLength != null && Long.parseLong(contentLength) > ProtocolHeaders.MAX_BODY_BYTES) {
       throw bodyTooLarge();
     }
   }
--- a/src/main/java/loadbalancer/proxy/frontend/RequestPipeline.java
+++ b/src/main/java/loadbalancer/proxy/frontend/RequestPipeline.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 import java.util.ArrayDeque;
 
-/** The complete requests of one connection that wait for the responses to earlier ones. */
+/** The complete requests of one connection that wait until earlier ones have their responses. */
 final class RequestPipeline {
 
   private static final int MAX_PIPELINED_REQUESTS = 16;
@@ -11,7 +11,8 @@
   /**
    * A request that waits.
    *
-   * @param arrivedAtMillis when it arrived: its deadline runs from there, not from its turn
+   * @param arrivedAtMillis the earliest time at which it may have arrived; its deadline counts from
+   *     then, not from when its processing begins
    */
   record PipelinedRequest(FullHttpRequest request, double arrivedAtMillis) {
 
@@ -31,19 +32,22 @@
     return requests.isEmpty();
   }
 
-  /** Adds a request and takes its reference over. */
+  /** Adds a request and takes over one reference to it. */
   void add(FullHttpRequest request, double arrivedAtMillis) {
     PipelinedRequest added = new PipelinedRequest(request, arrivedAtMillis);
     budget.reserve(added.bodyBytes());
     requests.addLast(added);
   }
 
-  /** Whether too many wait here or, behind a request in flight, too much memory is held. */
+  /**
+   * Whether too many requests wait on this connection or, if it has a request in flight, the
+   * waiting requests of all connections hold too much memory.
+   */
   boolean isOverLimit(boolean requestInFlight) {
     return requests.size() > MAX_PIPELINED_REQUESTS || (requestInFlight && budget.isExceeded());
   }
 
-  /** Removes the next request and passes its reference on; null if there is none. */
+  /** Removes and returns the next request, which the caller has to release; null if none waits. */
   PipelinedRequest poll() {
     PipelinedRequest next = requests.pollFirst();
     if (next != null) {
@@ -52,6 +56,7 @@
     return next;
   }
 
+  /** Discards all requests. */
   void clear() {
     for (PipelinedRequest dropped : requests) {
       budget.release(dropped.bodyBytes());
--- a/src/main/java/loadbalancer/proxy/frontend/RequestValidator.java
+++ b/src/main/java/loadbalancer/proxy/frontend/RequestValidator.java
@@ -14,32 +14,35 @@
 import loadbalancer.proxy.config.ProxyConfig;
 import loadbalancer.proxy.protocol.ProtocolHeaders;
 
-/** Validates complete requests against the platform's protocol before any part is forwarded. */
+/** Validates a complete request against the platform's protocol before any of it is forwarded. */
 public final class RequestValidator {
 
   private static final int MILLIS_PER_SECOND = 1_000;
 
-  /** The cost estimate is in microseconds on the wire. */
+  /** The header field of the cost estimate is in microseconds. */
   private static final int MICROS_PER_MILLI = 1_000;
 
   /**
-   * Time before the client's deadline that is reserved for the final response to reach it, and the
-   * largest share of the client's time that the reserve may take. While the event loop is late, so
-   * are its responses, and a larger share may be reserved.
+   * Time reserved before the client's deadline, in which the final response can reach the client.
    */
   private static final double RESPONSE_RESERVE_MILLIS = 40;
 
+  /** The largest share of the client's timeout that this reserve may take. */
   private static final double MAX_RESPONSE_RESERVE_SHARE = 0.1;
+
+  /** The largest share while the event loop is late, as its responses may then be as late. */
   private static final double MAX_LATE_RESPONSE_RESERVE_SHARE = 0.25;
 
+  /** A path with an optional query, of at most 2048 characters of visible ASCII. */
   private static final Pattern TARGET = Pattern.compile("/[!-~]{0,2047}");
-  private static final String KEY_COOKIE = "key";
+
+  private static final String ORDERING_KEY_COOKIE = "key";
   private static final int HEXADECIMAL = 16;
 
   private final ProxyConfig config;
   private final Map<String, Integer> requestClassIndexes = new HashMap<>();
 
-  /** Accepts requests of the classes and tenants that the configuration names. */
+  /** Creates a validator for the request classes and tenants of the configuration. */
   public RequestValidator(ProxyConfig config) {
     this.config = config;
     List<String> names = config.requestClasses();
@@ -51,11 +54,15 @@
   /**
    * Validates a complete request.
    *
-   * @param arrivedAt when the request arrived, in milliseconds of the event loop's clock
-   * @param lateness how late the event loop has recently been, in milliseconds
-   * @throws BadRequestException if the request violates the protocol
+   * @param arrivedAtMillis the earliest time at which the request may have arrived, in milliseconds
+   *     of the instance's clock
+   * @param latenessMillis how late the event loop has recently been
+   * @throws BadRequestException if the request violates the protocol; "the target is no path" if
+   *     the request target is not a path that begins with a slash, has over 2048 characters or
+   *     others than visible ASCII
    */
-  public ValidatedRequest read(FullHttpRequest request, double arrivedAt, double lateness)
+  public ValidatedRequest validate(
+      FullHttpRequest request, double arrivedAtMillis, double latenessMillis)
       throws BadRequestException {
     if (!TARGET.matcher(request.uri()).matches()) {
       throw new BadRequestException("the target is no path");
@@ -73,8 +80,8 @@
         requestId,
         requestClassIndex,
         tenant,
-        parseKey(HeaderValues.single(headers, "Cookie")),
-        arrivedAt + withoutResponseReserve(timeoutMillis, lateness),
+        parseOrderingKey(HeaderValues.single(headers, "Cookie")),
+        arrivedAtMillis + withoutResponseReserve(timeoutMillis, latenessMillis),
         Double.isNaN(costEstimate) ? 0 : costEstimate / MICROS_PER_MILLI,
         ProtocolHeaders.FLAG_SET.equals(HeaderValues.single(headers, ProtocolHeaders.CLIENT_RETRY)),
         !isGet(request));
@@ -84,6 +91,12 @@
     return request.method().equals(HttpMethod.GET);
   }
 
+  /**
+   * Returns the index of the request class.
+   *
+   * @throws BadRequestException ("unknown class") if the header field is missing, names no
+   *     configured class, or differs from the first segment of the path
+   */
   private int readRequestClass(FullHttpRequest request) throws BadRequestException {
     String name = HeaderValues.single(request.headers(), ProtocolHeaders.REQUEST_CLASS);
     Integer index = requestClassIndexes.get(name);
@@ -94,10 +107,17 @@
   }
 
   private static String firstPathSegment(String uri) {
-    String[] parts = uri.split("[/?]", 3);
-    return parts.length > 1 ? parts[1] : "";
+    String[] segments = uri.split("[/?]", 3);
+    return segments.length > 1 ? segments[1] : "";
   }
 
+  /**
+   * Validates the method and the presence of a body.
+   *
+   * @throws BadRequestException if the request is not a GET although its class is idempotent, or
+   *     not a POST although it is not ("the class wants another method"), or if a GET has a body
+   *     ("a body that nobody reads")
+   */
   private static void validateMethod(FullHttpRequest request, RequestClass requestClass)
       throws BadRequestException {
     boolean get = isGet(request);
@@ -110,6 +130,12 @@
     }
   }
 
+  /**
+   * Validates the presence of the idempotency key.
+   *
+   * @throws BadRequestException ("the class wants Idempotency-Key otherwise") if the key is missing
+   *     although the request class is deduplicated, or present although it is not
+   */
   private static void validateIdempotencyKey(HttpHeaders headers, RequestClass requestClass)
       throws BadRequestException {
     boolean present = HeaderValues.token(headers, ProtocolHeaders.IDEMPOTENCY_KEY) != null;
@@ -127,6 +153,11 @@
     return requestId;
   }
 
+  /**
+   * Returns the index of the tenant; 0 if none is configured or the request names none.
+   *
+   * @throws BadRequestException ("unknown tenant") if the request names one that is not configured
+   */
   private int readTenant(HttpHeaders headers) throws BadRequestException {
     String name = HeaderValues.single(headers, ProtocolHeaders.TENANT);
     int index = config.tenants().isEmpty() || name == null ? 0 : config.tenants().indexOf(name);
@@ -136,7 +167,7 @@
     return index;
   }
 
-  /** The time that the client waits; no client waits longer than its request class says. */
+  /** The time that the client waits, which is at most the deadline of the request class. */
   private static double readTimeoutMillis(HttpHeaders headers, RequestClass requestClass)
       throws BadRequestException {
     double remainingSeconds = HeaderValues.decimal(headers, ProtocolHeaders.REMAINING_TIME);
@@ -146,6 +177,7 @@
     return Math.min(requestClass.deadlineMillis(), remainingSeconds * MILLIS_PER_SECOND);
   }
 
+  /** The client's timeout without the time reserved for the response to reach the client. */
   private static double withoutResponseReserve(double timeoutMillis, double latenessMillis) {
     double usualReserve =
         Math.min(RESPONSE_RESERVE_MILLIS, MAX_RESPONSE_RESERVE_SHARE * timeoutMillis);
@@ -153,20 +185,21 @@
     return timeoutMillis - Math.max(usualReserve, lateReserve);
   }
 
-  /** What the request is about, as the cookie {@code key} says; 0 for none. */
-  private static long parseKey(String cookies) {
+  /** The ordering key from the cookie {@code key}; 0 if there is none. */
+  private static long parseOrderingKey(String cookies) {
     if (cookies == null) {
       return 0;
     }
     for (Cookie cookie : ServerCookieDecoder.LAX.decode(cookies)) {
-      if (cookie.name().equals(KEY_COOKIE)) {
-        return parseKeyValue(cookie.value());
+      if (cookie.name().equals(ORDERING_KEY_COOKIE)) {
+        return parseOrderingKeyValue(cookie.value());
       }
     }
     return 0;
   }
 
-  private static long parseKeyValue(String value) {
+  /** Reads a hexadecimal number of up to 64 bits; any other value is replaced by its hash code. */
+  private static long parseOrderingKeyValue(String value) {
     try {
       return Long.parseUnsignedLong(value, HEXADECIMAL);
     } catch (NumberFormatException e) {
--- a/src/main/java/loadbalancer/proxy/frontend/ResponseWriter.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ResponseWriter.java
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import loadbalancer.proxy.protocol.ProtocolHeaders;
 
-/** Writes responses to one client and counts those that the kernel has not taken yet. */
+/** Writes responses to one client and counts those not yet passed to the kernel completely. */
 final class ResponseWriter {
 
   private final Channel channel;
@@ -19,7 +19,8 @@
   /**
    * Creates a writer.
    *
-   * @param onAllWritten called when a write has ended, in success or not, and no other is pending
+   * @param onAllWritten called when a write of a final response has succeeded or failed and no
+   *     other is pending
    */
   ResponseWriter(Channel channel, Runnable onAllWritten) {
     this.channel = channel;
@@ -30,7 +31,7 @@
     return pendingWrites > 0;
   }
 
-  /** Asks the client for the body that it holds back. */
+  /** Writes 100 (Continue), for which a client waits before it sends the body. */
   void writeContinue() {
     channel.writeAndFlush(
         new DefaultFullHttpResponse(
@@ -40,11 +41,12 @@
   /**
    * Writes a final response.
    *
-   * @param body taken over
-   * @param retryAfterMillis 0 for no Retry-After header
-   * @param last whether the client is told that the connection closes
+   * @param body one reference to it is taken over
+   * @param retryAfterMillis the value of the Retry-After header; 0 for no header
+   * @param closesConnection whether the response tells the client that the connection will close
    */
-  void write(HttpResponseStatus status, ByteBuf body, double retryAfterMillis, boolean last) {
+  void write(
+      HttpResponseStatus status, ByteBuf body, double retryAfterMillis, boolean closesConnection) {
     FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
     response.headers().set("Content-Length", body.readableBytes());
     if (retryAfterMillis > 0) {
@@ -52,7 +54,7 @@
           .headers()
           .set("Retry-After", ProtocolHeaders.formatSeconds(Math.ceil(retryAfterMillis)));
     }
-    if (last) {
+    if (closesConnection) {
       response.headers().set("Connection", "close");
     }
     pendingWrites++;
--- a/src/main/java/loadbalancer/proxy/frontend/ValidatedRequest.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ValidatedRequest.java
@@ -3,16 +3,16 @@
 import loadbalancer.model.ClientRequest;
 
 /**
- * A request that {@link RequestValidator} accepted, as the policy needs it, but for its number.
+ * What {@link RequestValidator} has read from a request that it accepted: its ID, and all that the
+ * policy is told of it but the number that the instance assigns.
  *
  * @param requestId the client's identifier of the request
  * @param requestClass index of the request class in the configuration
  * @param tenant index of the tenant in the configuration
- * @param key the ordering key, from the cookie {@code key}; 0 for none
- * @param deadlineMillis when the response has to be ready, in milliseconds of the event loop's
- *     clock
- * @param costMillis expected work, see {@link ClientRequest#costMillis}; 0 if unknown
- * @param clientRetry whether the client has sent the request before
+ * @param key the ordering key, from the cookie {@code key}; 0 if there is none
+ * @param deadlineMillis when the response has to be ready, in milliseconds of the instance's clock
+ * @param costMillis the client's cost estimate, see {@link ClientRequest#costMillis}; 0 if unknown
+ * @param clientRetry whether the client has marked the request as one that it has sent before
  * @param write whether the request may change state
  */
 public record ValidatedRequest(
@@ -25,6 +25,7 @@
     boolean clientRetry,
     boolean write) {
 
+  /** Adds the number that identifies the request within the instance. */
   ClientRequest toClientRequest(long id) {
     return new ClientRequest(
         id, requestClass, tenant, key, deadlineMillis, costMillis, clientRetry, write);
--- a/src/test/java/loadbalancer/proxy/LateEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/LateEventLoopTest.java
@@ -162,7 +162,7 @@
       FullHttpRequest request =
           new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/look-up/7");
       request.headers().set("X-Txn", "1").set("X-Lane", "look-up").set("X-Remaining", remaining);
-      assertEquals(left, validator.read(request, 0, lateness).deadlineMillis());
+      assertEquals(left, validator.validate(request, 0, lateness).deadlineMillis());
     }
   }
 
--- a/src/test/java/loadbalancer/proxy/ProxyFixture.java
+++ b/src/test/java/loadbalancer/proxy/ProxyFixture.java
@@ -41,7 +41,7 @@
   public String registryMode = "subscribe";
 
   /** How long the proxy waits for the first endpoint list before it accepts clients. */
-  public long firstUpdateTimeoutMillis = ProxyServer.FIRST_UPDATE_TIMEOUT_MILLIS;
+  public long firstEndpointListTimeoutMillis = ProxyServer.FIRST_ENDPOINT_LIST_TIMEOUT_MILLIS;
 
   /** How long an upstream connection stays unused between requests; 0 lets a test reuse one. */
   public double settleMillis;
@@ -79,7 +79,7 @@
       Files.writeString(file, configEdit.apply(config()));
       server =
           ProxyServer.prepare(
-              ProxyConfig.read(file.toString()), policyFactory, firstUpdateTimeoutMillis);
+              ProxyConfig.read(file.toString()), policyFactory, firstEndpointListTimeoutMillis);
       server.onLoop(
           (frontend, upstreams) -> {
             upstreams.useOptions(upstreams.options().withReuseDelayMillis(settleMillis));
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -580,7 +580,7 @@
     void watchAfterFailuresDoesNotWait(String mode) throws Exception {
       try (fixture) {
         fixture.registryMode = mode;
-        fixture.firstUpdateTimeoutMillis = 1;
+        fixture.firstEndpointListTimeoutMillis = 1;
         fixture.start(LatencyWeightedPolicy::new);
         HttpPeer first = fixture.discovery.accept();
         assertWatches(41, first);
@@ -608,7 +608,7 @@
       try (fixture) {
         fixture.registryMode = "automatic";
         fixture.policy.onStart = () -> {};
-        fixture.firstUpdateTimeoutMillis = HttpPeer.TIMEOUT_MILLIS;
+        fixture.firstEndpointListTimeoutMillis = HttpPeer.TIMEOUT_MILLIS;
         Thread agent =
             new Thread(
                 () -> {
@@ -643,7 +643,7 @@
       try (fixture) {
         fixture.registryMode = "automatic";
         fixture.policy.onStart = () -> {};
-        fixture.firstUpdateTimeoutMillis = 1;
+        fixture.firstEndpointListTimeoutMillis = 1;
         fixture.start();
         fixture.discovery.accept().read();
         fixture.assertStillServes();
