--- a/src/main/java/loadbalancer/settings/SettingsParser.java
+++ b/src/main/java/loadbalancer/settings/SettingsParser.java
@@ -20,38 +20,49 @@
 import loadbalancer.model.Tenant;
 
 /**
- * Turns the platform's {@code path=value} lines into {@link PolicySettings}. This is the only place
- * that knows the platform's names of settings; docs/GLOSSARY.md explains them. Not thread-safe.
+ * Parses the policy settings that the deployment platform supplies as {@code key=value} lines into
+ * {@link PolicySettings}. Keys are dotted paths such as {@code limits.connIdle}; those of list
+ * items contain the item's index, as in {@code services.0.name}. Unknown keys are ignored. Only
+ * this class knows the platform's names of settings; docs/GLOSSARY.md explains them. Not
+ * thread-safe.
  */
 public final class SettingsParser {
 
+  /** The largest value that a list's {@code .count} setting may have. */
   private static final int MAX_LIST_ITEMS = 10_000;
 
+  /** Values of {@code registryMode}: whether discovery notifies only instances that watch it. */
   private static final Map<String, Boolean> EXPLICIT_WATCH =
       Map.of("automatic", false, "subscribe", true);
 
+  /**
+   * Values of {@code worthBy}: whether priority weights count per unit of work, not per request.
+   */
   private static final Map<String, Boolean> PRIORITY_BY_WORK =
       Map.of("request", false, "work", true);
 
+  /** Values of {@code stats.how}. */
   private static final Map<String, LoadReportMode> LOAD_REPORT_MODES =
       Map.of(
           "piggyback", LoadReportMode.PIGGYBACK,
           "pull", LoadReportMode.HEALTH_CHECK,
           "silent", LoadReportMode.NONE);
 
+  /** Values of {@code services.N.idempotency}. */
   private static final Map<String, Idempotency> IDEMPOTENCIES =
       Map.of(
           "idempotent", Idempotency.IDEMPOTENT,
           "deduplicated", Idempotency.DEDUPLICATED,
           "at_most_once", Idempotency.AT_MOST_ONCE);
 
+  /** Values of {@code services.N.group}. */
   private static final Map<String, DeduplicationScope> DEDUPLICATION_SCOPES =
       Map.of(
           "all", DeduplicationScope.ALL,
           "zone", DeduplicationScope.ZONE,
           "cell", DeduplicationScope.GROUP);
 
-  /** The value of each setting. Looked up by key only, never iterated. */
+  /** Setting values by key. Never iterated, as the iteration order of a hash map is arbitrary. */
   private final Map<String, String> values = new HashMap<>();
 
   private SettingsParser(String text) {
@@ -64,17 +75,19 @@
       }
       int equals = trimmed.indexOf('=');
       if (equals <= 0) {
-        throw new MalformedInputException("settings line " + lineNumber + " is no path=value pair");
+        throw new MalformedInputException(
+            "settings line " + lineNumber + " is not of the form key=value");
       }
       values.put(trimmed.substring(0, equals), trimmed.substring(equals + 1));
     }
   }
 
   /**
-   * Parses the lines, in UTF-8.
+   * Parses settings from lines in UTF-8.
    *
-   * @throws MalformedInputException if a setting is missing or has a bad value; the message names
-   *     its key
+   * @throws MalformedInputException if a required setting is missing or a setting has an invalid
+   *     value, with a message that names its key; also if a line is not of the form key=value or
+   *     the text is not UTF-8
    */
   public static PolicySettings parse(byte[] text) {
     try {
@@ -86,16 +99,16 @@
   }
 
   private PolicySettings settings() {
-    text("services.count");
+    text("services.count"); // Required, whereas items() takes a missing count for an empty list.
     int instanceIndex = integer("position");
     int instanceCount = integer("siblings");
     int tier = integer("tier");
-    requireNames("stages");
+    requirePresent("stages");
     int zone = integer("zone");
-    requireNames("zones");
+    requirePresent("zones");
     int machineTypeCount = Math.max(1, names("machineTypes").size());
     boolean explicitWatch = choice("registryMode", EXPLICIT_WATCH);
-    requireProtocolHints();
+    validateUpstreamAndClientHints();
     boolean priorityByWork = choice("worthBy", PRIORITY_BY_WORK);
     requireNumberIfPresent("overShareWorth");
     requireOneOf("weightKind", Set.of("silent", "nominal", "rough", "live"));
@@ -125,37 +138,37 @@
         costs);
   }
 
-  private void requireProtocolHints() {
+  private void validateUpstreamAndClientHints() {
     requireBoolIfPresent("familyInfo.passesDeadline");
     requireBoolIfPresent("familyInfo.warmKeys");
     requireBoolIfPresent("callers.marksRetry");
   }
 
-  private RequestClass requestClass(String path) {
-    Idempotency idempotency = choice(path + "idempotency", IDEMPOTENCIES);
+  private RequestClass requestClass(String keyPrefix) {
+    Idempotency idempotency = choice(keyPrefix + "idempotency", IDEMPOTENCIES);
     boolean deduplicated = idempotency == Idempotency.DEDUPLICATED;
     DeduplicationScope scope =
-        deduplicated ? choice(path + "group", DEDUPLICATION_SCOPES) : DeduplicationScope.ALL;
+        deduplicated ? choice(keyPrefix + "group", DEDUPLICATION_SCOPES) : DeduplicationScope.ALL;
     return new RequestClass(
-        text(path + "name"),
-        number(path + "aim"),
-        number(path + "aimStretch", 0),
-        number(path + "deadline"),
-        number(path + "worth"),
-        number(path + "lateValue"),
+        text(keyPrefix + "name"),
+        number(keyPrefix + "aim"),
+        number(keyPrefix + "aimStretch", 0),
+        number(keyPrefix + "deadline"),
+        number(keyPrefix + "worth"),
+        number(keyPrefix + "lateValue"),
         idempotency,
         scope,
-        deduplicated ? number(path + "memorySpan") : 0,
-        bool(path + "streamed"),
-        bool(path + "byArrival", false),
-        indices(path + "runsIn"),
-        indices(path + "boundTo"));
+        deduplicated ? number(keyPrefix + "memorySpan") : 0,
+        bool(keyPrefix + "streamed"),
+        bool(keyPrefix + "byArrival", false),
+        indices(keyPrefix + "runsIn"),
+        indices(keyPrefix + "boundTo"));
   }
 
-  private Tenant tenant(String path) {
-    String name = text(path + "name");
-    requireNumber(path + "fraction");
-    requireNumber(path + "quotaPerS");
+  private Tenant tenant(String keyPrefix) {
+    String name = text(keyPrefix + "name");
+    requireNumber(keyPrefix + "fraction");
+    requireNumber(keyPrefix + "quotaPerS");
     return new Tenant(name);
   }
 
@@ -226,9 +239,10 @@
     return new CostSettings(crossZoneCost, connectionCost, handshakeCost);
   }
 
-  // Settings that no decision depends on are still checked, so that a malformed file is reported.
+  // The require... methods validate settings that the policy does not use, so that mistakes in
+  // them are reported too.
 
-  private void requireNames(String key) {
+  private void requirePresent(String key) {
     text(key);
   }
 
@@ -266,7 +280,7 @@
     return value;
   }
 
-  /** A finite number. */
+  /** Returns the finite number that a required setting holds. */
   private double number(String key) {
     try {
       double value = Double.parseDouble(text(key));
@@ -274,7 +288,7 @@
         return value;
       }
     } catch (NumberFormatException e) {
-      // reported below, like a value that is not finite
+      // Reported below, as is a value that is not finite.
     }
     throw invalid(key);
   }
@@ -312,15 +326,18 @@
     return value.isEmpty() ? List.of() : List.of(value.split(","));
   }
 
-  /** Indices of the list; null where the key is absent, which is not the same as an empty list. */
+  /**
+   * Returns the comma-separated indices that a setting holds, or null if it is absent. For a
+   * placement, null allows every zone or machine type and an empty list allows none.
+   */
   private List<Integer> indices(String key) {
     if (!values.containsKey(key)) {
       return null;
     }
     List<Integer> indices = new ArrayList<>();
-    for (String name : names(key)) {
+    for (String index : names(key)) {
       try {
-        indices.add(Integer.parseUnsignedInt(name));
+        indices.add(Integer.parseUnsignedInt(index));
       } catch (NumberFormatException e) {
         throw invalid(key);
       }
@@ -328,20 +345,22 @@
     return List.copyOf(indices);
   }
 
-  private <T> List<T> items(String key, Function<String, T> parser) {
-    // A configuration without tenants leaves the whole list out.
-    int count = values.containsKey(key + ".count") ? integer(key + ".count") : 0;
+  /** Parses the items of a list; the parser receives the prefix of an item's keys. */
+  private <T> List<T> items(String listKey, Function<String, T> itemParser) {
+    // A configuration without tenants has no tenants.count either.
+    int count = values.containsKey(listKey + ".count") ? integer(listKey + ".count") : 0;
     if (count < 0 || count > MAX_LIST_ITEMS) {
-      throw invalid(key + ".count");
+      throw invalid(listKey + ".count");
     }
     List<T> items = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      items.add(parser.apply(key + "." + i + "."));
+      items.add(itemParser.apply(listKey + "." + i + "."));
     }
     return List.copyOf(items);
   }
 
   private MalformedInputException invalid(String key) {
-    return new MalformedInputException("setting " + key + " has the bad value '" + text(key) + "'");
+    return new MalformedInputException(
+        "setting " + key + " has the invalid value '" + text(key) + "'");
   }
 }
--- a/src/main/java/loadbalancer/simulation/ActionCode.java
+++ b/src/main/java/loadbalancer/simulation/ActionCode.java
@@ -1,12 +1,15 @@
 package loadbalancer.simulation;
 
-/** The kinds of records in a reply. */
+/**
+ * The kinds of records in a reply. All but {@link #FAULT} stand for the method of {@link
+ * loadbalancer.policy.PolicyActions} with the same name.
+ */
 enum ActionCode {
   REJECT(0),
   CHECK_HEALTH(1),
   FAIL_REQUEST(2),
   SEND_ATTEMPT(3),
-  /** The policy failed with an exception. */
+  /** The policy threw an exception, whose description is in the tail. */
   FAULT(4),
   CLOSE_IDLE_CONNECTIONS(5),
   LOG(6),
@@ -22,7 +25,7 @@
     this.code = (byte) code;
   }
 
-  /** The code in the protocol. */
+  /** Returns the code that stands for this kind in the simulator's protocol. */
   byte code() {
     return code;
   }
--- a/src/main/java/loadbalancer/simulation/ActionWriter.java
+++ b/src/main/java/loadbalancer/simulation/ActionWriter.java
@@ -7,8 +7,9 @@
 import loadbalancer.policy.PolicyActions;
 
 /**
- * Collects the actions of one reply: a header, records of fixed size, and a tail that holds texts
- * and payloads. Not thread-safe.
+ * Encodes the actions that the policy instances take during one frame into the reply to that frame:
+ * a header, records of fixed size, and a tail for content of variable size, to which records refer.
+ * The tail holds log lines, descriptions of exceptions and messages to peers. Not thread-safe.
  */
 final class ActionWriter implements PolicyActions {
 
@@ -18,98 +19,108 @@
   private static final int INITIAL_RECORD_BYTES = 1 << 14;
   private static final int INITIAL_TAIL_BYTES = 1 << 10;
 
-  private static final int HEADER_LENGTH = 0;
-  private static final int HEADER_RECORDS = 4;
+  /** Offset in the header of the number of bytes that follow it. */
+  private static final int HEADER_BODY_BYTES = 0;
 
-  /** Offset of the instance's number in every record; the action's code stands before it. */
-  private static final int INSTANCE = 1;
+  /** Offset in the header of the number of records. */
+  private static final int HEADER_RECORD_COUNT = 4;
 
-  /** Offset of an action's first field, in bytes; those of the further fields follow. */
-  private static final int FIELDS = 5;
+  /** Offset in every record of the instance number, after the one-byte action code. */
+  private static final int INSTANCE_NUMBER = 1;
 
-  private static final int AFTER_INT = FIELDS + Integer.BYTES;
-  private static final int AFTER_LONG = FIELDS + Long.BYTES;
+  /** Offset in a record of the action's first field. */
+  private static final int FIRST_FIELD = 5;
+
+  // Offsets of the fields that follow one or two fields of the named types.
+  private static final int AFTER_INT = FIRST_FIELD + Integer.BYTES;
+  private static final int AFTER_LONG = FIRST_FIELD + Long.BYTES;
   private static final int AFTER_LONG_AND_ENDPOINT = AFTER_LONG + LittleEndian.ENDPOINT_ID_BYTES;
 
   private byte[] records = new byte[INITIAL_RECORD_BYTES];
-  private int recordsLength;
+  private int recordBytes;
   private byte[] tail = new byte[INITIAL_TAIL_BYTES];
-  private int tailLength;
+  private int tailBytes;
   private int recordCount;
-  private int instance;
+  private int selectedInstance;
 
-  /** Sets the instance whose actions follow. */
-  void select(int number) {
-    instance = number;
+  /** Sets the instance that takes the actions added from now on. */
+  void selectInstance(int instanceNumber) {
+    selectedInstance = instanceNumber;
   }
 
   @Override
   public void reject(long requestId, double retryAfterMillis) {
-    int at = addRecord(ActionCode.REJECT);
-    LittleEndian.putLong(records, at + FIELDS, requestId);
-    LittleEndian.putDouble(records, at + AFTER_LONG, retryAfterMillis);
+    int offset = addRecord(ActionCode.REJECT);
+    LittleEndian.putLong(records, offset + FIRST_FIELD, requestId);
+    LittleEndian.putDouble(records, offset + AFTER_LONG, retryAfterMillis);
   }
 
   @Override
   public void checkHealth(long endpointId) {
-    int at = addRecord(ActionCode.CHECK_HEALTH);
-    LittleEndian.putEndpointId(records, at + FIELDS, endpointId);
+    int offset = addRecord(ActionCode.CHECK_HEALTH);
+    LittleEndian.putEndpointId(records, offset + FIRST_FIELD, endpointId);
   }
 
   @Override
   public void failRequest(long requestId) {
-    int at = addRecord(ActionCode.FAIL_REQUEST);
-    LittleEndian.putLong(records, at + FIELDS, requestId);
+    int offset = addRecord(ActionCode.FAIL_REQUEST);
+    LittleEndian.putLong(records, offset + FIRST_FIELD, requestId);
   }
 
   @Override
   public void sendAttempt(long requestId, long endpointId, double timeoutMillis) {
-    int at = addRecord(ActionCode.SEND_ATTEMPT);
-    LittleEndian.putLong(records, at + FIELDS, requestId);
-    LittleEndian.putEndpointId(records, at + AFTER_LONG, endpointId);
-    LittleEndian.putDouble(records, at + AFTER_LONG_AND_ENDPOINT, timeoutMillis);
+    int offset = addRecord(ActionCode.SEND_ATTEMPT);
+    LittleEndian.putLong(records, offset + FIRST_FIELD, requestId);
+    LittleEndian.putEndpointId(records, offset + AFTER_LONG, endpointId);
+    LittleEndian.putDouble(records, offset + AFTER_LONG_AND_ENDPOINT, timeoutMillis);
   }
 
-  /** Reports that the policy failed with an exception. */
+  /** Adds a record that reports an exception of the policy. */
   void fault(String text) {
-    int at = addRecord(ActionCode.FAULT);
-    putTail(at + FIELDS, text.getBytes(StandardCharsets.UTF_8));
+    int offset = addRecord(ActionCode.FAULT);
+    putTail(offset + FIRST_FIELD, text.getBytes(StandardCharsets.UTF_8));
   }
 
   @Override
   public void closeIdleConnections(long endpointId) {
-    int at = addRecord(ActionCode.CLOSE_IDLE_CONNECTIONS);
-    LittleEndian.putEndpointId(records, at + FIELDS, endpointId);
+    int offset = addRecord(ActionCode.CLOSE_IDLE_CONNECTIONS);
+    LittleEndian.putEndpointId(records, offset + FIRST_FIELD, endpointId);
   }
 
   @Override
   public void log(String text) {
-    int at = addRecord(ActionCode.LOG);
-    putTail(at + FIELDS, text.getBytes(StandardCharsets.UTF_8));
+    int offset = addRecord(ActionCode.LOG);
+    putTail(offset + FIRST_FIELD, text.getBytes(StandardCharsets.UTF_8));
   }
 
   @Override
   public void watchEndpoints(boolean enabled) {
-    int at = addRecord(ActionCode.WATCH_ENDPOINTS);
-    records[at + FIELDS] = (byte) (enabled ? 1 : 0);
+    int offset = addRecord(ActionCode.WATCH_ENDPOINTS);
+    records[offset + FIRST_FIELD] = (byte) (enabled ? 1 : 0);
   }
 
   @Override
   public void cancelAttempt(long requestId, int attempt) {
-    int at = addRecord(ActionCode.CANCEL_ATTEMPT);
-    LittleEndian.putLong(records, at + FIELDS, requestId);
-    LittleEndian.putShort(records, at + AFTER_LONG, attempt);
+    int offset = addRecord(ActionCode.CANCEL_ATTEMPT);
+    LittleEndian.putLong(records, offset + FIRST_FIELD, requestId);
+    LittleEndian.putShort(records, offset + AFTER_LONG, attempt);
   }
 
   @Override
   public void sendToPeer(int peerIndex, byte[] payload) {
     if (payload.length > MAX_PEER_MESSAGE_BYTES) {
       throw new IllegalArgumentException(
-          "a peer message holds " + MAX_PEER_MESSAGE_BYTES + " bytes at most");
+          "message of "
+              + payload.length
+              + " bytes to peer "
+              + peerIndex
+              + " exceeds the limit of "
+              + MAX_PEER_MESSAGE_BYTES
+              + " bytes");
     }
-    int at = addRecord(ActionCode.SEND_TO_PEER);
-    LittleEndian.putInt(records, at + FIELDS, peerIndex);
-    putTail(at + AFTER_INT, payload);
+    int offset = addRecord(ActionCode.SEND_TO_PEER);
+    LittleEndian.putInt(records, offset + FIRST_FIELD, peerIndex);
+    putTail(offset + AFTER_INT, payload);
   }
 
   @Override
@@ -119,47 +130,47 @@
 
   @Override
   public void scheduleTimer(long token, double atMillis) {
-    int at = addRecord(ActionCode.SCHEDULE_TIMER);
-    LittleEndian.putLong(records, at + FIELDS, token);
-    LittleEndian.putDouble(records, at + AFTER_LONG, atMillis);
+    int offset = addRecord(ActionCode.SCHEDULE_TIMER);
+    LittleEndian.putLong(records, offset + FIRST_FIELD, token);
+    LittleEndian.putDouble(records, offset + AFTER_LONG, atMillis);
   }
 
-  /** Writes the reply and starts the next one. */
+  /** Writes the reply and begins the next one, which is empty. */
   void writeTo(OutputStream out) throws IOException {
     byte[] header = new byte[HEADER_BYTES];
-    LittleEndian.putInt(header, HEADER_LENGTH, recordsLength + tailLength);
-    LittleEndian.putInt(header, HEADER_RECORDS, recordCount);
+    LittleEndian.putInt(header, HEADER_BODY_BYTES, recordBytes + tailBytes);
+    LittleEndian.putInt(header, HEADER_RECORD_COUNT, recordCount);
     out.write(header);
-    out.write(records, 0, recordsLength);
-    out.write(tail, 0, tailLength);
+    out.write(records, 0, recordBytes);
+    out.write(tail, 0, tailBytes);
     out.flush();
-    recordsLength = 0;
-    tailLength = 0;
+    recordBytes = 0;
+    tailBytes = 0;
     recordCount = 0;
   }
 
-  /** Adds an empty record and returns its offset; {@link #records} may be another array then. */
+  /** Adds an empty record and returns its offset. May replace the array {@link #records}. */
   private int addRecord(ActionCode code) {
-    int at = recordsLength;
-    if (at + RECORD_BYTES > records.length) {
+    int offset = recordBytes;
+    if (offset + RECORD_BYTES > records.length) {
       records = Arrays.copyOf(records, records.length * 2);
     }
-    Arrays.fill(records, at, at + RECORD_BYTES, (byte) 0);
-    records[at] = code.code();
-    LittleEndian.putInt(records, at + INSTANCE, instance);
-    recordsLength += RECORD_BYTES;
+    Arrays.fill(records, offset, offset + RECORD_BYTES, (byte) 0);
+    records[offset] = code.code();
+    LittleEndian.putInt(records, offset + INSTANCE_NUMBER, selectedInstance);
+    recordBytes += RECORD_BYTES;
     recordCount++;
-    return at;
+    return offset;
   }
 
-  /** Adds bytes to the tail and writes the reference to them at an offset of the records. */
-  private void putTail(int at, byte[] bytes) {
-    if (tailLength + bytes.length > tail.length) {
-      tail = Arrays.copyOf(tail, Math.max(tail.length * 2, tailLength + bytes.length));
+  /** Adds content to the tail, and a reference to it at an offset of {@link #records}. */
+  private void putTail(int offset, byte[] content) {
+    if (tailBytes + content.length > tail.length) {
+      tail = Arrays.copyOf(tail, Math.max(tail.length * 2, tailBytes + content.length));
     }
-    System.arraycopy(bytes, 0, tail, tailLength, bytes.length);
-    LittleEndian.putInt(records, at, tailLength);
-    LittleEndian.putInt(records, at + Integer.BYTES, bytes.length);
-    tailLength += bytes.length;
+    System.arraycopy(content, 0, tail, tailBytes, content.length);
+    LittleEndian.putInt(records, offset, tailBytes);
+    LittleEndian.putInt(records, offset + Integer.BYTES, content.length);
+    tailBytes += content.length;
   }
 }
--- a/src/main/java/loadbalancer/simulation/EndpointLists.java
+++ b/src/main/java/loadbalancer/simulation/EndpointLists.java
@@ -6,89 +6,96 @@
 import loadbalancer.model.EndpointState;
 import loadbalancer.settings.MalformedInputException;
 
-/** The numbered endpoint lists of the process, to which the events of all instances refer. */
+/**
+ * The endpoint lists that the simulator has defined, by number. Endpoint updates of all instances
+ * refer to them, so that a list that many instances receive is sent and decoded only once.
+ */
 final class EndpointLists {
 
-  /** How many bytes one endpoint takes in the tail of a frame. */
+  /** Size of one endpoint in the tail of a frame. */
   static final int ENTRY_BYTES = 24;
 
   private static final int MAX_LISTS = 16;
 
+  // Offsets in a record that defines a list.
   private static final int LIST_NUMBER = 1;
-  private static final int LIST_ENTRIES = 3;
+  private static final int LIST_TAIL_REFERENCE = 3;
 
+  // Offsets in the entry of an endpoint; its ID is at the beginning.
   private static final int ENTRY_ZONE = 6;
   private static final int ENTRY_MACHINE_TYPE = 8;
   private static final int ENTRY_GROUP = 9;
   private static final int ENTRY_STATE = 11;
-  private static final int ENTRY_WEIGHT = 12;
+  private static final int ENTRY_CAPACITY_HINT = 12;
   private static final int ENTRY_START_TIME = 16;
 
   private static final EndpointState[] STATES = EndpointState.values();
 
-  private final List<List<Endpoint>> lists = new ArrayList<>();
+  private final List<List<Endpoint>> listsByNumber = new ArrayList<>();
 
   EndpointLists() {
     for (int i = 0; i < MAX_LISTS; i++) {
-      lists.add(null);
+      listsByNumber.add(null);
     }
   }
 
   /**
-   * The list whose number stands at {@code at}.
+   * Returns the list whose number is at an offset of a frame's body.
    *
-   * @throws MalformedInputException if the number is out of range or the list is not defined
+   * @throws MalformedInputException if the number is out of range or the list has not been defined
    */
-  List<Endpoint> get(FrameBody body, int at) {
-    int number = listNumber(body, at);
-    List<Endpoint> list = lists.get(number);
+  List<Endpoint> get(FrameBody body, int offset) {
+    int listNumber = listNumber(body, offset);
+    List<Endpoint> list = listsByNumber.get(listNumber);
     if (list == null) {
-      throw new MalformedInputException("list " + number + " was never given");
+      throw new MalformedInputException("endpoint list " + listNumber + " is not defined");
     }
     return list;
   }
 
   /**
-   * Defines or replaces a list from the record at {@code at}.
+   * Defines or replaces a list as the record at an offset of a frame's body says.
    *
    * @throws MalformedInputException if the record or one of the entries is malformed
    */
-  void define(FrameBody body, int at) {
-    int number = listNumber(body, at + LIST_NUMBER);
-    int start = body.tailStart(at + LIST_ENTRIES, ENTRY_BYTES);
-    int count = body.tailItems(at + LIST_ENTRIES);
+  void define(FrameBody body, int offset) {
+    int listNumber = listNumber(body, offset + LIST_NUMBER);
+    int entriesStart = body.tailItemsStart(offset + LIST_TAIL_REFERENCE, ENTRY_BYTES);
+    int count = body.tailItemCount(offset + LIST_TAIL_REFERENCE);
     List<Endpoint> list = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
-      list.add(readEntry(body, start + i * ENTRY_BYTES, i));
+      list.add(readEntry(body, entriesStart + i * ENTRY_BYTES, i));
     }
-    lists.set(number, List.copyOf(list));
+    listsByNumber.set(listNumber, List.copyOf(list));
   }
 
-  private static int listNumber(FrameBody body, int at) {
-    int number = body.unsignedShort(at);
-    if (number >= MAX_LISTS) {
-      throw new MalformedInputException("list number " + number + " is over " + (MAX_LISTS - 1));
+  private static int listNumber(FrameBody body, int offset) {
+    int listNumber = body.unsignedShort(offset);
+    if (listNumber >= MAX_LISTS) {
+      throw new MalformedInputException(
+          "endpoint list number " + listNumber + " exceeds the maximum of " + (MAX_LISTS - 1));
     }
-    return number;
+    return listNumber;
   }
 
-  private static Endpoint readEntry(FrameBody body, int at, int position) {
-    int state = body.unsignedByte(at + ENTRY_STATE);
-    if (state >= STATES.length) {
-      throw new MalformedInputException("list entry " + position + ": unknown state " + state);
+  private static Endpoint readEntry(FrameBody body, int offset, int index) {
+    int stateCode = body.unsignedByte(offset + ENTRY_STATE);
+    if (stateCode >= STATES.length) {
+      throw new MalformedInputException(
+          "endpoint list entry " + index + ": unknown state code " + stateCode);
     }
-    float capacityHint = body.rawFloat(at + ENTRY_WEIGHT);
+    float capacityHint = body.rawFloat(offset + ENTRY_CAPACITY_HINT);
     if (!Float.isFinite(capacityHint)) {
       throw new MalformedInputException(
-          "list entry " + position + ": capacity hint " + capacityHint);
+          "endpoint list entry " + index + ": capacity hint is not finite: " + capacityHint);
     }
     return new Endpoint(
-        body.endpointId(at),
-        body.unsignedShort(at + ENTRY_ZONE),
-        body.unsignedByte(at + ENTRY_MACHINE_TYPE),
-        body.unsignedShort(at + ENTRY_GROUP),
-        STATES[state],
+        body.endpointId(offset),
+        body.unsignedShort(offset + ENTRY_ZONE),
+        body.unsignedByte(offset + ENTRY_MACHINE_TYPE),
+        body.unsignedShort(offset + ENTRY_GROUP),
+        STATES[stateCode],
         capacityHint,
-        body.finiteDouble(at + ENTRY_START_TIME, "start time"));
+        body.finiteDouble(offset + ENTRY_START_TIME, "start time"));
   }
 }
--- a/src/main/java/loadbalancer/simulation/EventCode.java
+++ b/src/main/java/loadbalancer/simulation/EventCode.java
@@ -2,21 +2,24 @@
 
 import loadbalancer.settings.MalformedInputException;
 
-/** The kinds of records in a frame, in the order of their codes, which begin at 0. */
+/**
+ * The kinds of records in a frame. Their order is that of their codes in the simulator's protocol,
+ * which begin at 0.
+ */
 enum EventCode {
   /** Creates an instance. */
   CREATE_INSTANCE,
-  /** An update of the endpoint list, or a failed call for one. */
+  /** An instance received an update of its endpoint list, or its call to discovery failed. */
   ENDPOINTS_CHANGED,
-  /** A client's request arrived. */
+  /** A request of a client arrived. */
   REQUEST_ARRIVED,
   /** The first bytes of a streamed response arrived. */
   RESPONSE_STARTED,
   /** An attempt ended. */
   ATTEMPT_FINISHED,
-  /** A client gave up its request. */
+  /** A client disconnected before its request was answered. */
   CLIENT_DISCONNECTED,
-  /** A timer that the policy had scheduled expired. */
+  /** A timer that the policy has scheduled expired. */
   TIMER_EXPIRED,
   /** A health check ended. */
   HEALTH_CHECK_COMPLETED,
@@ -24,15 +27,15 @@
   PEER_MESSAGE_RECEIVED,
   /** Removes an instance. */
   REMOVE_INSTANCE,
-  /** Defines an endpoint list, to which later records of any instance refer. */
+  /** Defines an endpoint list, to which later updates of any instance may refer. */
   DEFINE_ENDPOINT_LIST;
 
   private static final EventCode[] BY_CODE = values();
 
   /**
-   * The kind of record with a code of the protocol.
+   * Returns the kind of record that a code stands for.
    *
-   * @throws MalformedInputException if there is none
+   * @throws MalformedInputException if no kind has this code
    */
   static EventCode fromCode(int code) {
     if (code >= BY_CODE.length) {
--- a/src/main/java/loadbalancer/simulation/FrameBody.java
+++ b/src/main/java/loadbalancer/simulation/FrameBody.java
@@ -4,13 +4,13 @@
 import loadbalancer.settings.MalformedInputException;
 
 /**
- * The records and the tail of one frame, with checked access to their fields. Offsets count from
- * the beginning of the body; every method throws {@link MalformedInputException} for a value that
- * the protocol does not allow.
+ * The body of a frame, which consists of records and of a tail that holds content of variable size.
+ * Offsets are in bytes from the beginning of the body. Methods throw {@link
+ * MalformedInputException} if a field has a value that the protocol does not allow.
  */
 final class FrameBody {
 
-  // The codes of the protocol for the outcome of an attempt.
+  // Codes of attempt outcomes in the simulator's protocol.
   private static final int OUTCOME_OK = 10;
   private static final int OUTCOME_ERROR = 20;
   private static final int OUTCOME_REJECTED = 30;
@@ -22,52 +22,56 @@
 
   private static final int MAX_LOAD_REPORT_VALUES = 4;
 
-  private final byte[] bytes;
+  private final byte[] body;
   private final int tailStart;
 
-  /** Wraps a body whose tail begins at {@code tailStart}. */
-  FrameBody(byte[] bytes, int tailStart) {
-    this.bytes = bytes;
+  /** Wraps a body whose tail begins at an offset, after the records. */
+  FrameBody(byte[] body, int tailStart) {
+    this.body = body;
     this.tailStart = tailStart;
   }
 
-  int unsignedByte(int at) {
-    return LittleEndian.getByte(bytes, at);
+  int unsignedByte(int offset) {
+    return LittleEndian.getByte(body, offset);
   }
 
-  int unsignedShort(int at) {
-    return LittleEndian.getShort(bytes, at);
+  int unsignedShort(int offset) {
+    return LittleEndian.getShort(body, offset);
   }
 
-  int signedInt(int at) {
-    return LittleEndian.getInt(bytes, at);
+  int signedInt(int offset) {
+    return LittleEndian.getInt(body, offset);
   }
 
-  long signedLong(int at) {
-    return LittleEndian.getLong(bytes, at);
+  long signedLong(int offset) {
+    return LittleEndian.getLong(body, offset);
   }
 
-  long endpointId(int at) {
-    return LittleEndian.getEndpointId(bytes, at);
+  long endpointId(int offset) {
+    return LittleEndian.getEndpointId(body, offset);
   }
 
-  /** A float, finite or not. */
-  float rawFloat(int at) {
-    return LittleEndian.getFloat(bytes, at);
+  /** Returns a float, which may be infinite or NaN. */
+  float rawFloat(int offset) {
+    return LittleEndian.getFloat(body, offset);
   }
 
-  /** A finite double; {@code name} is its name in the error. */
-  double finiteDouble(int at, String name) {
-    double value = LittleEndian.getDouble(bytes, at);
+  /**
+   * Returns a finite double.
+   *
+   * @param name what the value is, for the message of the exception
+   */
+  double finiteDouble(int offset, String name) {
+    double value = LittleEndian.getDouble(body, offset);
     if (!Double.isFinite(value)) {
-      throw new MalformedInputException(name + " " + value);
+      throw new MalformedInputException(name + " is not finite: " + value);
     }
     return value;
   }
 
-  AttemptOutcome attemptOutcome(int at) {
-    int code = unsignedByte(at);
-    return switch (code) {
+  AttemptOutcome attemptOutcome(int offset) {
+    int outcomeCode = unsignedByte(offset);
+    return switch (outcomeCode) {
       case OUTCOME_OK -> AttemptOutcome.OK;
       case OUTCOME_ERROR -> AttemptOutcome.ERROR;
       case OUTCOME_REJECTED -> AttemptOutcome.REJECTED;
@@ -76,51 +80,64 @@
       case OUTCOME_RESET -> AttemptOutcome.RESET;
       case OUTCOME_CANCELLED -> AttemptOutcome.CANCELLED;
       case OUTCOME_NOT_SENT -> AttemptOutcome.NOT_SENT;
-      default -> throw new MalformedInputException("unknown outcome " + code);
+      default -> throw new MalformedInputException("unknown attempt outcome " + outcomeCode);
     };
   }
 
-  /** A load report: the number of its values in one byte, then the values; null if it is empty. */
-  double[] loadReport(int at) {
-    int count = unsignedByte(at);
+  /** Reads a load report, a byte with the number of values before the values; null if empty. */
+  double[] loadReport(int offset) {
+    int count = unsignedByte(offset);
     if (count == 0) {
       return null;
     }
     if (count > MAX_LOAD_REPORT_VALUES) {
-      throw new MalformedInputException("load report of " + count + " values");
+      throw new MalformedInputException(
+          "load report has " + count + " values, over the limit of " + MAX_LOAD_REPORT_VALUES);
     }
     double[] report = new double[count];
     for (int i = 0; i < count; i++) {
-      report[i] = rawFloat(at + 1 + Float.BYTES * i);
+      report[i] = rawFloat(offset + 1 + Float.BYTES * i);
     }
     return report;
   }
 
-  /** The bytes in the tail that the reference at {@code at} names. */
-  byte[] tailBytes(int at) {
-    int start = tailStart(at, 1);
-    byte[] content = new byte[tailItems(at)];
-    System.arraycopy(bytes, start, content, 0, content.length);
+  /** Returns the bytes in the tail that the reference at an offset refers to. */
+  byte[] tailBytes(int offset) {
+    int contentStart = tailItemsStart(offset, 1);
+    byte[] content = new byte[tailItemCount(offset)];
+    System.arraycopy(body, contentStart, content, 0, content.length);
     return content;
   }
 
   /**
-   * Where the content of a tail reference begins, once it is known to lie inside the tail. A
-   * reference is an offset in the tail and a number of items, of {@code itemBytes} each.
+   * Returns the offset in the body at which the items of a tail reference begin, after checking
+   * that they lie within the tail. A reference consists of an offset in the tail and a number of
+   * items.
+   *
+   * @param offset offset of the reference
+   * @param itemBytes size of one item
    */
-  int tailStart(int at, int itemBytes) {
-    long offset = LittleEndian.getUnsignedInt(bytes, at);
-    long length = LittleEndian.getUnsignedInt(bytes, at + Integer.BYTES) * itemBytes;
-    long tailLength = (long) bytes.length - tailStart;
-    if (offset + length > tailLength) {
+  int tailItemsStart(int offset, int itemBytes) {
+    long tailOffset = LittleEndian.getUnsignedInt(body, offset);
+    long referencedBytes = LittleEndian.getUnsignedInt(body, offset + Integer.BYTES) * itemBytes;
+    long tailSize = (long) body.length - tailStart;
+    if (tailOffset + referencedBytes > tailSize) {
       throw new MalformedInputException(
-          "offset " + offset + " with " + length + " bytes leaves the tail of " + tailLength);
+          "tail reference with offset "
+              + tailOffset
+              + " and length "
+              + referencedBytes
+              + " exceeds the tail length "
+              + tailSize);
     }
-    return tailStart + (int) offset;
+    return tailStart + (int) tailOffset;
   }
 
-  /** How many items a tail reference names. */
-  int tailItems(int at) {
-    return signedInt(at + Integer.BYTES);
+  /**
+   * Returns how many items a tail reference refers to, unchecked: call {@link #tailItemsStart}
+   * first.
+   */
+  int tailItemCount(int offset) {
+    return signedInt(offset + Integer.BYTES);
   }
 }
--- a/src/main/java/loadbalancer/simulation/LittleEndian.java
+++ b/src/main/java/loadbalancer/simulation/LittleEndian.java
@@ -4,10 +4,10 @@
 import java.lang.invoke.VarHandle;
 import java.nio.ByteOrder;
 
-/** Reads and writes little-endian values in a byte array at a byte offset. */
+/** Reads and writes little-endian values at byte offsets of a byte array. */
 final class LittleEndian {
 
-  /** How many bytes an endpoint's ID takes. */
+  /** Size of an endpoint ID: an IPv4 address and a port. */
   static final int ENDPOINT_ID_BYTES = Integer.BYTES + Short.BYTES;
 
   private static final VarHandle SHORT = view(short[].class);
@@ -22,59 +22,63 @@
     return MethodHandles.byteArrayViewVarHandle(arrayType, ByteOrder.LITTLE_ENDIAN);
   }
 
-  /** An unsigned byte. */
-  static int getByte(byte[] bytes, int at) {
-    return bytes[at] & 0xff;
+  /** Reads an unsigned byte. */
+  static int getByte(byte[] bytes, int offset) {
+    return bytes[offset] & 0xff;
   }
 
-  /** An unsigned short. */
-  static int getShort(byte[] bytes, int at) {
-    return (short) SHORT.get(bytes, at) & 0xffff;
+  /** Reads an unsigned short. */
+  static int getShort(byte[] bytes, int offset) {
+    return (short) SHORT.get(bytes, offset) & 0xffff;
   }
 
-  static int getInt(byte[] bytes, int at) {
-    return (int) INT.get(bytes, at);
+  static int getInt(byte[] bytes, int offset) {
+    return (int) INT.get(bytes, offset);
   }
 
-  static long getUnsignedInt(byte[] bytes, int at) {
-    return (int) INT.get(bytes, at) & 0xffffffffL;
+  static long getUnsignedInt(byte[] bytes, int offset) {
+    return (int) INT.get(bytes, offset) & 0xffffffffL;
   }
 
-  static long getLong(byte[] bytes, int at) {
-    return (long) LONG.get(bytes, at);
+  static long getLong(byte[] bytes, int offset) {
+    return (long) LONG.get(bytes, offset);
   }
 
-  static float getFloat(byte[] bytes, int at) {
-    return (float) FLOAT.get(bytes, at);
+  static float getFloat(byte[] bytes, int offset) {
+    return (float) FLOAT.get(bytes, offset);
   }
 
-  static double getDouble(byte[] bytes, int at) {
-    return (double) DOUBLE.get(bytes, at);
+  static double getDouble(byte[] bytes, int offset) {
+    return (double) DOUBLE.get(bytes, offset);
   }
 
-  /** An endpoint's ID: four address bytes and a port, kept as they came. */
-  static long getEndpointId(byte[] bytes, int at) {
-    return getUnsignedInt(bytes, at) | (long) getShort(bytes, at + Integer.BYTES) << Integer.SIZE;
+  /**
+   * Reads an endpoint ID: four address bytes and two port bytes. The byte order of address and port
+   * does not matter, as IDs are only compared and written back.
+   */
+  static long getEndpointId(byte[] bytes, int offset) {
+    return getUnsignedInt(bytes, offset)
+        | (long) getShort(bytes, offset + Integer.BYTES) << Integer.SIZE;
   }
 
-  static void putShort(byte[] bytes, int at, int value) {
-    SHORT.set(bytes, at, (short) value);
+  static void putShort(byte[] bytes, int offset, int value) {
+    SHORT.set(bytes, offset, (short) value);
   }
 
-  static void putInt(byte[] bytes, int at, int value) {
-    INT.set(bytes, at, value);
+  static void putInt(byte[] bytes, int offset, int value) {
+    INT.set(bytes, offset, value);
   }
 
-  static void putLong(byte[] bytes, int at, long value) {
-    LONG.set(bytes, at, value);
+  static void putLong(byte[] bytes, int offset, long value) {
+    LONG.set(bytes, offset, value);
   }
 
-  static void putDouble(byte[] bytes, int at, double value) {
-    DOUBLE.set(bytes, at, value);
+  static void putDouble(byte[] bytes, int offset, double value) {
+    DOUBLE.set(bytes, offset, value);
   }
 
-  static void putEndpointId(byte[] bytes, int at, long endpointId) {
-    putInt(bytes, at, (int) endpointId);
-    putShort(bytes, at + Integer.BYTES, (int) (endpointId >>> Integer.SIZE));
+  static void putEndpointId(byte[] bytes, int offset, long endpointId) {
+    putInt(bytes, offset, (int) endpointId);
+    putShort(bytes, offset + Integer.BYTES, (int) (endpointId >>> Integer.SIZE));
   }
 }
--- a/src/main/java/loadbalancer/simulation/SimulationHost.java
+++ b/src/main/java/loadbalancer/simulation/SimulationHost.java
@@ -13,51 +13,65 @@
 import loadbalancer.settings.SettingsParser;
 
 /**
- * Reads frames of events, hands each event to its instance of the policy, and answers every frame
- * with one reply. Not thread-safe.
+ * Runs policy instances for the simulator: reads frames of events, passes each event to the
+ * instance that it is addressed to, and answers every frame with one reply that holds the actions
+ * of all instances. Not thread-safe.
  */
 final class SimulationHost {
 
   static final int HEADER_BYTES = 16;
   static final int RECORD_BYTES = 48;
 
-  /** A longer frame is taken for a broken stream; an array could not hold much more. */
-  private static final long MAX_FRAME_BYTES = 1L << 29;
+  /**
+   * The largest accepted body of a frame. A greater length is a sign of a corrupt stream; besides,
+   * a Java array cannot hold much more.
+   */
+  private static final long MAX_BODY_BYTES = 1L << 29;
+
+  // Offsets in the header of a frame.
+  private static final int HEADER_BODY_BYTES = 0;
+  private static final int HEADER_RECORD_COUNT = 4;
+  private static final int HEADER_CLOCK_MILLIS = 8;
 
-  private static final int HEADER_LENGTH = 0;
-  private static final int HEADER_RECORDS = 4;
-  private static final int HEADER_CLOCK = 8;
+  /** Offset in every record of the instance number, after the one-byte event code. */
+  private static final int INSTANCE_NUMBER = 1;
 
-  private static final int INSTANCE = 1;
+  // Offsets in a record that creates an instance.
   private static final int CREATE_SEED = 5;
   private static final int CREATE_SETTINGS = 13;
 
   private final Function<PolicyActions, LoadBalancingPolicy> policyFactory;
   private final ActionWriter reply = new ActionWriter();
 
-  /** Looked up by number only, never iterated. */
+  /** Instances by number. Never iterated, as the iteration order of a hash map is arbitrary. */
   private final Map<Integer, Instance> instances = new HashMap<>();
 
   private final EndpointLists endpointLists = new EndpointLists();
 
-  /** The clock of the current frame, in milliseconds. */
-  private double now = Double.NEGATIVE_INFINITY;
+  /** The simulated time of the current frame, in milliseconds. */
+  private double nowMillis = Double.NEGATIVE_INFINITY;
 
-  /** The number of the current frame, for error messages. */
+  /** The number of the current frame, from 0, for error messages. */
   private long frameNumber;
 
-  /** An instance of the policy, and the settings against which its events are checked. */
+  /** An instance of the policy, and the settings that its events are validated against. */
   private record Instance(LoadBalancingPolicy policy, PolicySettings settings) {}
 
-  /** Creates a host without instances; the factory creates the policy of each one. */
+  /**
+   * Creates a host without instances.
+   *
+   * @param policyFactory creates the policy of an instance, which requests its actions from the
+   *     argument
+   */
   SimulationHost(Function<PolicyActions, LoadBalancingPolicy> policyFactory) {
     this.policyFactory = policyFactory;
   }
 
   /**
-   * Serves until the input ends between two frames.
+   * Answers frames until the input ends between two of them.
    *
-   * @throws MalformedInputException if a frame breaks the protocol; the message says which and how
+   * @throws MalformedInputException if a frame violates the protocol; the message gives the number
+   *     of the frame and the reason
    */
   void serve(InputStream in, OutputStream out) throws IOException {
     byte[] header = in.readNBytes(HEADER_BYTES);
@@ -73,29 +87,33 @@
   }
 
   private void handleFrame(byte[] header, InputStream in) throws IOException {
-    long length = LittleEndian.getUnsignedInt(header, HEADER_LENGTH);
-    long records = LittleEndian.getUnsignedInt(header, HEADER_RECORDS);
-    double clock = LittleEndian.getDouble(header, HEADER_CLOCK);
-    if (length > MAX_FRAME_BYTES) {
-      throw malformed("length " + length + " is over the limit of " + MAX_FRAME_BYTES);
+    long bodyBytes = LittleEndian.getUnsignedInt(header, HEADER_BODY_BYTES);
+    long recordCount = LittleEndian.getUnsignedInt(header, HEADER_RECORD_COUNT);
+    double clockMillis = LittleEndian.getDouble(header, HEADER_CLOCK_MILLIS);
+    if (bodyBytes > MAX_BODY_BYTES) {
+      throw malformed("body of " + bodyBytes + " bytes exceeds the limit of " + MAX_BODY_BYTES);
     }
-    if (records * RECORD_BYTES > length) {
-      throw malformed(records + " records do not fit into " + length + " bytes");
+    if (recordCount * RECORD_BYTES > bodyBytes) {
+      throw malformed(recordCount + " records do not fit into a body of " + bodyBytes + " bytes");
     }
-    if (!Double.isFinite(clock) || clock < now) {
-      throw malformed("clock " + clock + " after " + now);
+    if (!Double.isFinite(clockMillis) || clockMillis < nowMillis) {
+      throw malformed(
+          "clock "
+              + clockMillis
+              + " ms is not finite or is before the previous frame's "
+              + nowMillis);
     }
-    now = clock;
-    byte[] bytes = in.readNBytes((int) length);
-    if (bytes.length < length) {
-      throw malformed("input ends after " + bytes.length + " of " + length + " bytes");
+    nowMillis = clockMillis;
+    byte[] body = in.readNBytes((int) bodyBytes);
+    if (body.length < bodyBytes) {
+      throw malformed("input ends after " + body.length + " of " + bodyBytes + " body bytes");
     }
-    handleRecords(new FrameBody(bytes, (int) records * RECORD_BYTES), (int) records);
+    handleRecords(new FrameBody(body, (int) recordCount * RECORD_BYTES), (int) recordCount);
   }
 
-  private void handleRecords(FrameBody body, int records) {
-    EventDecoder decoder = new EventDecoder(body, now, endpointLists);
-    for (int i = 0; i < records; i++) {
+  private void handleRecords(FrameBody body, int recordCount) {
+    EventDecoder decoder = new EventDecoder(body, nowMillis, endpointLists);
+    for (int i = 0; i < recordCount; i++) {
       try {
         handleRecord(body, i * RECORD_BYTES, decoder);
       } catch (MalformedInputException e) {
@@ -104,54 +122,55 @@
     }
   }
 
-  private MalformedInputException malformed(String problem) {
-    return new MalformedInputException("frame " + frameNumber + ": " + problem);
+  private MalformedInputException malformed(String reason) {
+    return new MalformedInputException("frame " + frameNumber + ": " + reason);
   }
 
-  private void handleRecord(FrameBody body, int at, EventDecoder decoder) {
-    EventCode code = EventCode.fromCode(body.unsignedByte(at));
+  private void handleRecord(FrameBody body, int recordOffset, EventDecoder decoder) {
+    EventCode code = EventCode.fromCode(body.unsignedByte(recordOffset));
     if (code == EventCode.DEFINE_ENDPOINT_LIST) {
-      endpointLists.define(body, at);
+      endpointLists.define(body, recordOffset);
       return;
     }
-    int number = body.signedInt(at + INSTANCE);
+    int instanceNumber = body.signedInt(recordOffset + INSTANCE_NUMBER);
     if (code == EventCode.CREATE_INSTANCE) {
-      provision(number, body, at);
+      createInstance(instanceNumber, body, recordOffset);
       return;
     }
-    Instance instance = instances.get(number);
+    Instance instance = instances.get(instanceNumber);
     if (instance == null) {
       throw new MalformedInputException(
-          "event "
-              + body.unsignedByte(at)
+          "event code "
+              + body.unsignedByte(recordOffset)
               + " for unknown instance "
-              + Integer.toUnsignedString(number));
+              + Integer.toUnsignedString(instanceNumber));
     }
     if (code == EventCode.REMOVE_INSTANCE) {
-      instances.remove(number);
+      instances.remove(instanceNumber);
       return;
     }
-    callPolicy(number, decoder.decode(code, at, instance.policy(), instance.settings()));
+    callPolicy(
+        instanceNumber, decoder.decode(code, recordOffset, instance.policy(), instance.settings()));
   }
 
-  private void provision(int number, FrameBody body, int at) {
-    byte[] text = body.tailBytes(at + CREATE_SETTINGS);
-    long seed = body.signedLong(at + CREATE_SEED);
-    PolicySettings settings = SettingsParser.parse(text);
+  private void createInstance(int instanceNumber, FrameBody body, int recordOffset) {
+    byte[] settingsText = body.tailBytes(recordOffset + CREATE_SETTINGS);
+    long seed = body.signedLong(recordOffset + CREATE_SEED);
+    PolicySettings settings = SettingsParser.parse(settingsText);
     LoadBalancingPolicy policy = policyFactory.apply(reply);
-    instances.put(number, new Instance(policy, settings));
-    double startedAt = now;
-    callPolicy(number, () -> policy.start(startedAt, settings, seed));
+    instances.put(instanceNumber, new Instance(policy, settings));
+    double startMillis = nowMillis;
+    callPolicy(instanceNumber, () -> policy.start(startMillis, settings, seed));
   }
 
-  /** Delivers one event; an exception of the policy is reported to the simulator. */
-  private void callPolicy(int number, Runnable event) {
-    reply.select(number);
+  /** Calls the policy of an instance; an exception of the policy is reported in the reply. */
+  private void callPolicy(int instanceNumber, Runnable policyCall) {
+    reply.selectInstance(instanceNumber);
     try {
-      event.run();
+      policyCall.run();
     } catch (RuntimeException e) {
-      StackTraceElement[] trace = e.getStackTrace();
-      reply.fault(e + (trace.length > 0 ? " at " + trace[0] : ""));
+      StackTraceElement[] stackTrace = e.getStackTrace();
+      reply.fault(e + (stackTrace.length > 0 ? " at " + stackTrace[0] : ""));
     }
   }
 }
--- a/src/main/java/loadbalancer/simulation/SimulationMain.java
+++ b/src/main/java/loadbalancer/simulation/SimulationMain.java
@@ -13,8 +13,8 @@
 import loadbalancer.settings.MalformedInputException;
 
 /**
- * The command {@code wire}: reads frames of the simulator on standard input and answers each on
- * standard output.
+ * The command {@code wire}, which runs the policy for the simulator: it reads frames of events from
+ * standard input and writes a reply to each to standard output.
  */
 public final class SimulationMain {
 
@@ -27,7 +27,8 @@
   private SimulationMain() {}
 
   /**
-   * Runs the command and exits: with 0 after the last frame, 1 for malformed input, 2 for wrong
+   * Runs the command and exits: with status 0 when the input has ended after a complete frame, 1 if
+   * the input is malformed or can't be read or the output can't be written, 2 for invalid
    * arguments.
    */
   public static void main(String[] args) {
--- a/src/main/java/loadbalancer/simulation/package-info.java
+++ b/src/main/java/loadbalancer/simulation/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Runs the policy on the simulator's binary protocol: frames of events on standard input, one reply
- * of actions for each on standard output.
+ * Runs the policy for a simulator, by a binary protocol: the simulator writes frames of events to
+ * standard input and reads one reply with the policy's actions for each from standard output.
  *
- * <p>Single-threaded. One process hosts many instances; time is the clock of each frame, in
- * milliseconds. All numbers are little-endian.
+ * <p>Single-threaded. One process hosts many policy instances. Time is simulated: each frame gives
+ * the time of its events in milliseconds. All numbers are little-endian.
  */
 package loadbalancer.simulation;
--- a/src/test/java/loadbalancer/settings/SettingsParserTest.java
+++ b/src/test/java/loadbalancer/settings/SettingsParserTest.java
@@ -21,8 +21,8 @@
 
 public class SettingsParserTest {
 
-  /** A site of two classes; every setting that has no default. */
-  public static final String COMPLETE =
+  /** Settings with two request classes that contain only the settings without a default. */
+  public static final String REQUIRED_SETTINGS =
       String.join(
           "\n",
           "position=4",
@@ -96,8 +96,8 @@
   }
 
   @Test
-  void completeSettingsAreParsed() {
-    PolicySettings settings = parse(COMPLETE);
+  void requiredSettingsAreParsed() {
+    PolicySettings settings = parse(REQUIRED_SETTINGS);
     assertEquals(4, settings.instanceIndex());
     assertEquals(9, settings.instanceCount());
     assertEquals(1, settings.tier());
@@ -112,18 +112,18 @@
   }
 
   @Test
-  void unknownKeysAreIgnoredAndOptionalOnesHaveDefaults() {
-    PolicySettings settings = parse(COMPLETE + "rules.brandNew=x\nprices.fleet=0.5\n");
+  void unknownSettingsAreIgnoredAndOptionalOnesHaveDefaults() {
+    PolicySettings settings = parse(REQUIRED_SETTINGS + "rules.brandNew=x\nprices.fleet=0.5\n");
     assertEquals(0, settings.requestClasses().get(0).objectivePerCost());
     assertFalse(settings.requestClasses().get(0).orderedByKey());
     assertEquals(0, settings.rules().keySettleMillis());
   }
 
   @Test
-  void orderingPlacementAndScoreWeightsAreParsed() {
+  void optionalSettingsAreParsed() {
     PolicySettings settings =
         parse(
-            COMPLETE
+            REQUIRED_SETTINGS
                 + String.join(
                     "\n",
                     "services.0.byArrival=true",
@@ -148,7 +148,7 @@
 
   @Test
   void requestClassIsUnrestrictedByDefault() {
-    PolicySettings settings = parse(COMPLETE);
+    PolicySettings settings = parse(REQUIRED_SETTINGS);
     assertFalse(settings.requestClasses().get(0).orderedByKey());
     assertTrue(
         settings
@@ -159,7 +159,7 @@
     assertEquals(0.2, settings.worstClassWeight());
   }
 
-  /** Settings that no decision reads are checked all the same. */
+  /** Settings that the policy does not use are validated as well. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -179,15 +179,15 @@
         "weightKind"
       })
   void unusedRequiredSettingIsValidated(String key) {
-    String without = COMPLETE.replaceAll("(?m)^" + Pattern.quote(key) + "=.*\n", "");
+    String without = REQUIRED_SETTINGS.replaceAll("(?m)^" + Pattern.quote(key) + "=.*\n", "");
     assertRejected("setting " + key + " is missing", without);
-    assertRejected("setting " + key + " has the bad value 'x'", without + key + "=x\n");
+    assertRejected("setting " + key + " has the invalid value 'x'", without + key + "=x\n");
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"stages", "zones"})
   void unusedListOfNamesIsRequired(String key) {
-    String without = COMPLETE.replaceAll("(?m)^" + Pattern.quote(key) + "=.*\n", "");
+    String without = REQUIRED_SETTINGS.replaceAll("(?m)^" + Pattern.quote(key) + "=.*\n", "");
     assertRejected("setting " + key + " is missing", without);
   }
 
@@ -206,7 +206,8 @@
         "limits.cpuUsPerS"
       })
   void unusedOptionalSettingIsValidatedIfPresent(String key) {
-    assertRejected("setting " + key + " has the bad value 'x'", COMPLETE + key + "=x\n");
+    assertRejected(
+        "setting " + key + " has the invalid value 'x'", REQUIRED_SETTINGS + key + "=x\n");
   }
 
   @Test
@@ -214,42 +215,55 @@
     String tenants = "tenants.count=1\ntenants.0.name=acme\ntenants.0.fraction=0.5\n";
     assertEquals(
         List.of(new Tenant("acme")),
-        parse(COMPLETE + tenants + "tenants.0.quotaPerS=9\n").tenants());
-    assertRejected("setting tenants.0.quotaPerS is missing", COMPLETE + tenants);
+        parse(REQUIRED_SETTINGS + tenants + "tenants.0.quotaPerS=9\n").tenants());
+    assertRejected("setting tenants.0.quotaPerS is missing", REQUIRED_SETTINGS + tenants);
     assertRejected(
-        "setting tenants.0.quotaPerS has the bad value",
-        COMPLETE + tenants + "tenants.0.quotaPerS=x\n");
+        "setting tenants.0.quotaPerS has the invalid value",
+        REQUIRED_SETTINGS + tenants + "tenants.0.quotaPerS=x\n");
   }
 
   @Test
   void invalidPlacementIsReportedWithItsKey() {
-    assertRejected("services.0.runsIn has the bad value", COMPLETE + "services.0.runsIn=0,north\n");
-    assertRejected("services.1.boundTo has the bad value", COMPLETE + "services.1.boundTo=-1\n");
-    assertRejected("services.0.byArrival has the bad value", COMPLETE + "services.0.byArrival=1\n");
-    assertRejected("rules.orderSettle has the bad value", COMPLETE + "rules.orderSettle=\n");
+    assertRejected(
+        "services.0.runsIn has the invalid value",
+        REQUIRED_SETTINGS + "services.0.runsIn=0,north\n");
+    assertRejected(
+        "services.1.boundTo has the invalid value", REQUIRED_SETTINGS + "services.1.boundTo=-1\n");
+    assertRejected(
+        "services.0.byArrival has the invalid value",
+        REQUIRED_SETTINGS + "services.0.byArrival=1\n");
+    assertRejected(
+        "rules.orderSettle has the invalid value", REQUIRED_SETTINGS + "rules.orderSettle=\n");
   }
 
   @Test
   void missingSettingIsReportedWithItsKey() {
-    assertRejected("rules.drainGrace is missing", COMPLETE.replace("rules.drainGrace=500.0\n", ""));
-    assertRejected("services.count is missing", COMPLETE.replace("services.count=2\n", ""));
     assertRejected(
-        "services.1.memorySpan is missing", COMPLETE.replace("services.1.memorySpan=3000.0\n", ""));
+        "rules.drainGrace is missing", REQUIRED_SETTINGS.replace("rules.drainGrace=500.0\n", ""));
+    assertRejected(
+        "services.count is missing", REQUIRED_SETTINGS.replace("services.count=2\n", ""));
+    assertRejected(
+        "services.1.memorySpan is missing",
+        REQUIRED_SETTINGS.replace("services.1.memorySpan=3000.0\n", ""));
   }
 
   @Test
   void invalidValueIsReportedWithItsKey() {
     assertRejected(
-        "rules.warmUp has the bad value", COMPLETE.replace("warmUp=9000.0", "warmUp=soon"));
+        "rules.warmUp has the invalid value",
+        REQUIRED_SETTINGS.replace("warmUp=9000.0", "warmUp=soon"));
+    assertRejected(
+        "rules.warmUp has the invalid value",
+        REQUIRED_SETTINGS.replace("warmUp=9000.0", "warmUp=NaN"));
     assertRejected(
-        "rules.warmUp has the bad value", COMPLETE.replace("warmUp=9000.0", "warmUp=NaN"));
+        "services.0.idempotency has the invalid value",
+        REQUIRED_SETTINGS.replace(
+            "services.0.idempotency=idempotent", "services.0.idempotency=maybe"));
     assertRejected(
-        "services.0.idempotency has the bad value",
-        COMPLETE.replace("services.0.idempotency=idempotent", "services.0.idempotency=maybe"));
+        "services.count has the invalid value",
+        REQUIRED_SETTINGS.replace("services.count=2", "services.count=-1"));
     assertRejected(
-        "services.count has the bad value",
-        COMPLETE.replace("services.count=2", "services.count=-1"));
-    assertRejected("settings line 1 is no path=value pair", "nonsense\n" + COMPLETE);
+        "settings line 1 is not of the form key=value", "nonsense\n" + REQUIRED_SETTINGS);
   }
 
   @Test
--- a/src/test/java/loadbalancer/simulation/SimulationHostTest.java
+++ b/src/test/java/loadbalancer/simulation/SimulationHostTest.java
@@ -18,7 +18,7 @@
 import loadbalancer.settings.SettingsParserTest;
 import org.junit.jupiter.api.Test;
 
-/** The binary protocol, byte for byte: valid frames and malformed ones. */
+/** The simulator's binary protocol, byte for byte, with valid and malformed frames. */
 class SimulationHostTest {
 
   private static final int INSTANCE = 3;
@@ -39,74 +39,79 @@
     return new Run(status, out.toByteArray(), err.toString(StandardCharsets.UTF_8));
   }
 
-  private static byte[] concat(byte[]... parts) {
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
-    for (byte[] part : parts) {
-      all.writeBytes(part);
+  private static byte[] concat(byte[]... arrays) {
+    ByteArrayOutputStream joined = new ByteArrayOutputStream();
+    for (byte[] part : arrays) {
+      joined.writeBytes(part);
     }
-    return all.toByteArray();
+    return joined.toByteArray();
   }
 
-  /** A frame from records and a tail. */
-  private static byte[] frame(double clock, byte[] tail, byte[]... records) {
+  /** Builds a frame from records and a tail. */
+  private static byte[] frame(double clockMillis, byte[] tail, byte[]... records) {
     byte[] header = new byte[SimulationHost.HEADER_BYTES];
     LittleEndian.putInt(header, 0, records.length * SimulationHost.RECORD_BYTES + tail.length);
     LittleEndian.putInt(header, 4, records.length);
-    LittleEndian.putDouble(header, 8, clock);
+    LittleEndian.putDouble(header, 8, clockMillis);
     return concat(header, concat(records), tail);
   }
 
-  private static byte[] record(int code, int instance) {
+  private static byte[] record(int eventCode, int instance) {
     byte[] record = new byte[SimulationHost.RECORD_BYTES];
-    record[0] = (byte) code;
+    record[0] = (byte) eventCode;
     LittleEndian.putInt(record, 1, instance);
     return record;
   }
 
+  /** The required settings, with one of them replaced by a {@code key=value} line unless empty. */
   private static byte[] settings(String change) {
-    String text = SettingsParserTest.COMPLETE;
+    String settingsText = SettingsParserTest.REQUIRED_SETTINGS;
     if (!change.isEmpty()) {
-      text = text.replaceAll("(?m)^" + change.split("=")[0] + "=.*\n", "") + change + "\n";
+      settingsText =
+          settingsText.replaceAll("(?m)^" + change.split("=")[0] + "=.*\n", "") + change + "\n";
     }
-    return text.getBytes(StandardCharsets.UTF_8);
+    return settingsText.getBytes(StandardCharsets.UTF_8);
   }
 
-  private static byte[] entry(long endpoint) {
-    byte[] entry = new byte[EndpointLists.ENTRY_BYTES];
-    LittleEndian.putEndpointId(entry, 0, endpoint);
-    entry[11] = 1;
-    LittleEndian.putInt(entry, 12, Float.floatToIntBits(1f));
-    return entry;
+  private static byte[] listEntry(long endpoint) {
+    byte[] listEntry = new byte[EndpointLists.ENTRY_BYTES];
+    LittleEndian.putEndpointId(listEntry, 0, endpoint);
+    listEntry[11] = 1;
+    LittleEndian.putInt(listEntry, 12, Float.floatToIntBits(1f));
+    return listEntry;
   }
 
-  /** The opening frame: one instance, its settings, a list of one endpoint. */
-  private static byte[] opening() {
-    byte[] text = settings("");
-    byte[] provision = record(0, INSTANCE);
-    LittleEndian.putLong(provision, 5, 42);
-    LittleEndian.putInt(provision, 13, 0);
-    LittleEndian.putInt(provision, 17, text.length);
+  /**
+   * A frame that creates an instance, defines a list of one endpoint and sends it to the instance.
+   */
+  private static byte[] openingFrame() {
+    byte[] settingsText = settings("");
+    byte[] createInstance = record(0, INSTANCE);
+    LittleEndian.putLong(createInstance, 5, 42);
+    LittleEndian.putInt(createInstance, 13, 0);
+    LittleEndian.putInt(createInstance, 17, settingsText.length);
     byte[] list = record(10, 0);
     LittleEndian.putShort(list, 1, 0);
-    LittleEndian.putInt(list, 3, text.length);
+    LittleEndian.putInt(list, 3, settingsText.length);
     LittleEndian.putInt(list, 7, 1);
-    byte[] discovery = record(1, INSTANCE);
-    discovery[5] = 2;
-    return frame(10_000, concat(text, entry(ENDPOINT)), provision, list, discovery);
+    byte[] endpointsChanged = record(1, INSTANCE);
+    endpointsChanged[5] = 2;
+    return frame(
+        10_000, concat(settingsText, listEntry(ENDPOINT)), createInstance, list, endpointsChanged);
   }
 
-  private static byte[] incoming(long id) {
+  private static byte[] requestArrived(long id) {
     byte[] record = record(2, INSTANCE);
     LittleEndian.putLong(record, 5, id);
     LittleEndian.putDouble(record, 24, 12_000);
     return record;
   }
 
-  private static byte[] finished(long id, int code) {
+  private static byte[] attemptFinished(long id, int outcomeCode) {
     byte[] record = record(4, INSTANCE);
     LittleEndian.putLong(record, 5, id);
-    record[13] = (byte) (code == 10 ? 1 : 0);
-    record[14] = (byte) code;
+    record[13] = (byte) (outcomeCode == 10 ? 1 : 0);
+    record[14] = (byte) outcomeCode;
     LittleEndian.putEndpointId(record, 15, ENDPOINT);
     LittleEndian.putDouble(record, 23, 20);
     return record;
@@ -121,8 +126,8 @@
 
   @Test
   void emptyFrameGetsAnEmptyReply() {
-    byte[] batch = HexFormat.of().parseHex("000000000000000000000000206ec040");
-    Run run = run(batch);
+    byte[] emptyFrame = HexFormat.of().parseHex("000000000000000000000000206ec040");
+    Run run = run(emptyFrame);
     assertEquals(0, run.status);
     assertArrayEquals(new byte[8], run.out);
     assertEquals("", run.err);
@@ -130,34 +135,38 @@
 
   @Test
   void requestIsSentToTheListedEndpoint() {
-    Run run = run(concat(opening(), frame(10_005, new byte[0], incoming(0xfa3135d3a91c4L))));
+    Run run =
+        run(concat(openingFrame(), frame(10_005, new byte[0], requestArrived(0xfa3135d3a91c4L))));
     assertEquals(0, run.status, run.err);
-    byte[] reply = run.out;
-    // An empty reply to the opening, then one record: code, instance, request, endpoint, timeout.
-    assertEquals(8 + 8 + 32, reply.length);
-    assertEquals(32, LittleEndian.getInt(reply, 8));
-    assertEquals(1, LittleEndian.getInt(reply, 12));
+    byte[] replies = run.out;
+    // An empty reply to the first frame, then one with a record: action code, instance, request,
+    // endpoint, timeout.
+    assertEquals(8 + 8 + 32, replies.length);
+    assertEquals(32, LittleEndian.getInt(replies, 8));
+    assertEquals(1, LittleEndian.getInt(replies, 12));
     assertEquals(
         "03" + "03000000" + "c4913a5d13a30f00" + "0a124a072b23",
-        HexFormat.of().formatHex(reply, 16, 35));
-    // Without statistics: 2 * 3 times a fifth of the latency objective of 500 ms.
-    assertEquals(600, LittleEndian.getDouble(reply, 35), 1e-9);
-    assertEquals("0000000000", HexFormat.of().formatHex(reply, 43, 48));
+        HexFormat.of().formatHex(replies, 16, 35));
+    // Without latency statistics: 2 * 3 times a fifth of the latency objective of 500 ms.
+    assertEquals(600, LittleEndian.getDouble(replies, 35), 1e-9);
+    assertEquals("0000000000", HexFormat.of().formatHex(replies, 43, 48));
   }
 
   @Test
   void replyThatOutgrowsItsBufferKeepsAllRecords() {
-    // More records than fit the writer's first buffer: growing it must keep those before.
+    // More records than fit into the initial buffer of ActionWriter, which has to keep those that
+    // it
+    // already holds when it grows.
     byte[][] requests = new byte[1_500][];
     byte[][] failures = new byte[requests.length][];
     for (int i = 0; i < requests.length; i++) {
-      requests[i] = incoming(i + 1);
-      failures[i] = finished(i + 1, 80);
+      requests[i] = requestArrived(i + 1);
+      failures[i] = attemptFinished(i + 1, 80);
     }
     Run run =
         run(
             concat(
-                opening(),
+                openingFrame(),
                 frame(10_005, new byte[0], requests),
                 frame(10_010, new byte[0], failures)));
     assertEquals(0, run.status, run.err);
@@ -172,98 +181,110 @@
   @Test
   void exceptionOfThePolicyBecomesAFaultAction() throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    LoadBalancingPolicy broken =
+    LoadBalancingPolicy failingPolicy =
         (LoadBalancingPolicy)
             Proxy.newProxyInstance(
                 LoadBalancingPolicy.class.getClassLoader(),
                 new Class<?>[] {LoadBalancingPolicy.class},
                 (proxy, method, arguments) -> {
                   if (method.getName().equals("timerExpired")) {
-                    throw new IllegalStateException("broken on purpose");
+                    throw new IllegalStateException("exception for the test");
                   }
                   return null;
                 });
-    SimulationHost host = new SimulationHost(actions -> broken);
-    byte[] ring = frame(10_001, new byte[0], record(6, INSTANCE));
-    host.serve(new ByteArrayInputStream(concat(opening(), ring)), out);
-    byte[] reply = out.toByteArray();
-    assertEquals(4, reply[16]);
+    SimulationHost host = new SimulationHost(actions -> failingPolicy);
+    byte[] timerFrame = frame(10_001, new byte[0], record(6, INSTANCE));
+    host.serve(new ByteArrayInputStream(concat(openingFrame(), timerFrame)), out);
+    byte[] replies = out.toByteArray();
+    assertEquals(4, replies[16]);
     assertTrue(
-        new String(reply, 48, reply.length - 48, StandardCharsets.UTF_8)
-            .contains("broken on purpose"));
+        new String(replies, 48, replies.length - 48, StandardCharsets.UTF_8)
+            .contains("exception for the test"));
   }
 
   @Test
   void eventsForUnknownRequestsCauseNoActions() {
-    byte[] gone = record(5, INSTANCE);
-    LittleEndian.putLong(gone, 5, 99);
-    byte[] ring = record(6, INSTANCE);
-    LittleEndian.putLong(ring, 5, 12345);
-    byte[] probed = record(7, INSTANCE);
-    probed[11] = 10;
-    byte[] headers = record(3, INSTANCE);
-    LittleEndian.putLong(headers, 5, 98);
-    byte[] message = record(8, INSTANCE);
-    byte[] failed = record(1, INSTANCE);
-    failed[5] = 3;
-    byte[] late = incoming(5);
-    LittleEndian.putDouble(late, 24, 9_000);
+    byte[] clientDisconnected = record(5, INSTANCE);
+    LittleEndian.putLong(clientDisconnected, 5, 99);
+    byte[] timerExpired = record(6, INSTANCE);
+    LittleEndian.putLong(timerExpired, 5, 12345);
+    byte[] healthCheckCompleted = record(7, INSTANCE);
+    healthCheckCompleted[11] = 10;
+    byte[] responseStarted = record(3, INSTANCE);
+    LittleEndian.putLong(responseStarted, 5, 98);
+    byte[] peerMessage = record(8, INSTANCE);
+    byte[] discoveryFailed = record(1, INSTANCE);
+    discoveryFailed[5] = 3;
+    byte[] requestPastDeadline = requestArrived(5);
+    LittleEndian.putDouble(requestPastDeadline, 24, 9_000);
     Run run =
         run(
             concat(
-                opening(),
+                openingFrame(),
                 frame(
                     10_005,
                     new byte[0],
-                    gone,
-                    ring,
-                    probed,
-                    headers,
-                    message,
-                    finished(97, 40),
-                    late),
+                    clientDisconnected,
+                    timerExpired,
+                    healthCheckCompleted,
+                    responseStarted,
+                    peerMessage,
+                    attemptFinished(97, 40),
+                    requestPastDeadline),
                 frame(10_010, new byte[0], record(9, INSTANCE))));
     assertEquals(0, run.status, run.err);
-    // Only the request whose deadline has passed is answered: rejected.
+    // The only action is to reject the request whose deadline has passed.
     assertEquals(8 + 8 + 32 + 8, run.out.length);
     assertEquals(0, run.out[16]);
   }
 
   @Test
   void malformedFramesEndTheRunWithAMessage() {
-    byte[] none = new byte[0];
+    byte[] noTail = new byte[0];
     assertRejected("inside the header", new byte[5]);
-    assertRejected("input ends after", Arrays.copyOf(opening(), 60));
-    byte[] records = new byte[SimulationHost.HEADER_BYTES];
-    LittleEndian.putInt(records, 4, 7);
-    assertRejected("7 records do not fit", records);
-    byte[] huge = new byte[SimulationHost.HEADER_BYTES];
-    LittleEndian.putInt(huge, 0, -1);
-    assertRejected("over the limit", huge);
-    assertRejected("clock NaN", frame(Double.NaN, none));
-    assertRejected("clock 1.0 after 2.0", concat(frame(2, none), frame(1, none)));
+    assertRejected("input ends after", Arrays.copyOf(openingFrame(), 60));
+    byte[] tooManyRecords = new byte[SimulationHost.HEADER_BYTES];
+    LittleEndian.putInt(tooManyRecords, 4, 7);
+    assertRejected("7 records do not fit", tooManyRecords);
+    byte[] tooLongBody = new byte[SimulationHost.HEADER_BYTES];
+    LittleEndian.putInt(tooLongBody, 0, -1);
+    assertRejected("body of 4294967295 bytes exceeds the limit", tooLongBody);
+    assertRejected("clock NaN", frame(Double.NaN, noTail));
+    assertRejected(
+        "clock 1.0 ms is not finite or is before the previous frame's 2.0",
+        concat(frame(2, noTail), frame(1, noTail)));
   }
 
   @Test
   void malformedRecordsEndTheRunWithAMessage() {
-    byte[] none = new byte[0];
+    byte[] noTail = new byte[0];
+    assertRejected(
+        "unknown event code 11",
+        concat(openingFrame(), frame(10_001, noTail, record(11, INSTANCE))));
+    assertRejected(
+        "unknown instance 4", concat(openingFrame(), frame(10_001, noTail, record(6, 4))));
+    byte[] invalidListNumber = record(10, 0);
+    LittleEndian.putShort(invalidListNumber, 1, 16);
+    assertRejected(
+        "endpoint list number 16 exceeds the maximum of 15", frame(1, noTail, invalidListNumber));
+    byte[] undefinedList = record(1, INSTANCE);
+    LittleEndian.putShort(undefinedList, 10, 5);
+    assertRejected(
+        "endpoint list 5 is not defined",
+        concat(openingFrame(), frame(10_001, noTail, undefinedList)));
+    byte[] tailReferenceOutOfRange = record(10, 0);
+    LittleEndian.putInt(tailReferenceOutOfRange, 3, 4);
+    LittleEndian.putInt(tailReferenceOutOfRange, 7, 1);
+    assertRejected(
+        "exceeds the tail length", frame(1, listEntry(ENDPOINT), tailReferenceOutOfRange));
+    assertRejected(
+        "unknown attempt outcome 11",
+        concat(openingFrame(), frame(10_001, noTail, attemptFinished(1, 11))));
+    byte[] unknownRequestClass = requestArrived(1);
+    unknownRequestClass[13] = 9;
     assertRejected(
-        "unknown event code 11", concat(opening(), frame(10_001, none, record(11, INSTANCE))));
-    assertRejected("unknown instance 4", concat(opening(), frame(10_001, none, record(6, 4))));
-    byte[] number = record(10, 0);
-    LittleEndian.putShort(number, 1, 16);
-    assertRejected("list number 16", frame(1, none, number));
-    byte[] never = record(1, INSTANCE);
-    LittleEndian.putShort(never, 10, 5);
-    assertRejected("list 5 was never given", concat(opening(), frame(10_001, none, never)));
-    byte[] offset = record(10, 0);
-    LittleEndian.putInt(offset, 3, 4);
-    LittleEndian.putInt(offset, 7, 1);
-    assertRejected("leaves the tail", frame(1, entry(ENDPOINT), offset));
-    assertRejected("unknown outcome 11", concat(opening(), frame(10_001, none, finished(1, 11))));
-    byte[] serviceClass = incoming(1);
-    serviceClass[13] = 9;
-    assertRejected("unknown class 9", concat(opening(), frame(10_001, none, serviceClass)));
+        "unknown request class 9",
+        concat(openingFrame(), frame(10_001, noTail, unknownRequestClass)));
   }
 
   @Test
@@ -276,29 +297,30 @@
 
   @Test
   void mutatedFramesEndInAReplyOrAOneLineMessage() throws IOException {
-    byte[] good =
+    byte[] validInput =
         concat(
-            opening(),
-            frame(10_005, new byte[0], incoming(1), incoming(2)),
-            frame(10_025, new byte[0], finished(1, 10), finished(2, 20)));
+            openingFrame(),
+            frame(10_005, new byte[0], requestArrived(1), requestArrived(2)),
+            frame(10_025, new byte[0], attemptFinished(1, 10), attemptFinished(2, 20)));
     SplittableRandom random = new SplittableRandom(20261128);
-    int rejected = 0;
+    int malformedCount = 0;
     for (int i = 0; i < 4_000; i++) {
-      byte[] bad = good.clone();
-      for (int flips = random.nextInt(1, 4); flips > 0; flips--) {
-        bad[random.nextInt(bad.length)] = (byte) random.nextInt();
+      byte[] mutated = validInput.clone();
+      for (int mutations = random.nextInt(1, 4); mutations > 0; mutations--) {
+        mutated[random.nextInt(mutated.length)] = (byte) random.nextInt();
       }
-      byte[] input = random.nextInt(4) == 0 ? Arrays.copyOf(bad, random.nextInt(bad.length)) : bad;
+      byte[] input =
+          random.nextInt(4) == 0 ? Arrays.copyOf(mutated, random.nextInt(mutated.length)) : mutated;
       Run run = run(input);
       assertTrue(run.status == 0 || run.status == 1);
       if (run.status == 1) {
-        rejected++;
+        malformedCount++;
         assertTrue(run.err.startsWith("load-balancer: "), run.err);
         assertFalse(run.err.contains("\tat "), run.err);
       } else {
         assertEquals("", run.err);
       }
     }
-    assertTrue(rejected > 500, rejected + " rejected");
+    assertTrue(malformedCount > 500, malformedCount + " rejected");
   }
 }
