--- a/src/main/java/loadbalancer/model/AttemptResult.java
+++ b/src/main/java/loadbalancer/model/AttemptResult.java
@@ -1,18 +1,18 @@
 package loadbalancer.model;
 
 /**
- * The end of one attempt.
+ * How one attempt ended.
  *
- * @param requestId the request that it was made for
- * @param attempt its number among the attempts of that request, from 0
- * @param endpointId where it was sent
+ * @param requestId the request that the attempt was made for
+ * @param attempt the number of the attempt among those of the request, from 0
+ * @param endpointId the endpoint that it was sent to
  * @param outcome how it ended
- * @param requestClosed whether the request is over; otherwise it is still owed its final response
+ * @param requestClosed whether the request needs no final response any more
  * @param elapsedMillis time since the attempt was sent, in milliseconds
  * @param loadReport the endpoint's load report in the order of {@link
  *     PolicySettings#loadReportFields}, or null; not to be modified
  */
-@SuppressWarnings("ArrayRecordComponent") // one for each attempt: no copy, no boxing
+@SuppressWarnings("ArrayRecordComponent") // created for each attempt: avoids copies and boxing
 public record AttemptResult(
     long requestId,
     int attempt,
--- a/src/main/java/loadbalancer/model/ClientRequest.java
+++ b/src/main/java/loadbalancer/model/ClientRequest.java
@@ -1,16 +1,17 @@
 package loadbalancer.model;
 
 /**
- * A client's request.
+ * A request as it arrived from a client.
  *
  * @param id unique within an instance
  * @param requestClass index into {@link PolicySettings#requestClasses}
  * @param tenant index into {@link PolicySettings#tenants}
- * @param key the ordering key, which ties requests about the same subject together; 0 for none
- * @param deadlineMillis when the client gives up waiting, on the clock of the events
- * @param costMillis expected work in milliseconds of a standard core; 0 if unknown
+ * @param key the ordering key, which requests about the same object share; 0 for none
+ * @param deadlineMillis time at which the client stops waiting, on the clock of the events
+ * @param costMillis cost estimate: expected CPU time in milliseconds of a standard core; 0 if
+ *     unknown
  * @param retry whether the client has marked it as a retry
- * @param write whether it changes something
+ * @param write whether it modifies data
  */
 public record ClientRequest(
     long id,
--- a/src/main/java/loadbalancer/model/CostSettings.java
+++ b/src/main/java/loadbalancer/model/CostSettings.java
@@ -1,10 +1,10 @@
 package loadbalancer.model;
 
 /**
- * What side effects cost, in points of the result.
+ * The cost of side effects, in points of the score by which the platform rates the service.
  *
- * @param crossZoneCost for the share of attempts that leave the zone
- * @param connectionCost for the rate of new connections
- * @param handshakeCost for the rate of handshakes
+ * @param crossZoneCost cost of the share of attempts that go to another zone
+ * @param connectionCost cost of the rate of new connections
+ * @param handshakeCost cost of the rate of handshakes
  */
 public record CostSettings(double crossZoneCost, double connectionCost, double handshakeCost) {}
--- a/src/main/java/loadbalancer/model/DeduplicationScope.java
+++ b/src/main/java/loadbalancer/model/DeduplicationScope.java
@@ -1,11 +1,11 @@
 package loadbalancer.model;
 
-/** Which endpoints drop repeats of a request of a {@link Idempotency#DEDUPLICATED} class. */
+/** The endpoints that drop repeats of a request of a {@link Idempotency#DEDUPLICATED} class. */
 public enum DeduplicationScope {
   /** All endpoints. */
   ALL,
-  /** The endpoints of the zone that saw the first attempt. */
+  /** The endpoints in the zone of the endpoint that received the first attempt. */
   ZONE,
-  /** The endpoints of the deduplication group that saw the first attempt. */
+  /** The endpoints in the deduplication group of the one that received the first attempt. */
   GROUP
 }
--- a/src/main/java/loadbalancer/model/EndpointState.java
+++ b/src/main/java/loadbalancer/model/EndpointState.java
@@ -1,14 +1,13 @@
 package loadbalancer.model;
 
 /**
- * The state of an endpoint. The order is that of the simulator's protocol, which refers to them by
- * ordinal.
+ * The state of an endpoint. The order must not change: the simulator's protocol uses the ordinals.
  */
 public enum EndpointState {
   /** No longer exists; listed only in an {@link EndpointUpdateType#DELTA} update. */
   REMOVED,
   /** Accepts new requests. */
   READY,
-  /** Finishes its requests and accepts no new ones. */
+  /** Completes its requests and accepts no new ones. */
   DRAINING
 }
--- a/src/main/java/loadbalancer/model/EndpointUpdateType.java
+++ b/src/main/java/loadbalancer/model/EndpointUpdateType.java
@@ -1,16 +1,16 @@
 package loadbalancer.model;
 
 /**
- * The kinds of updates of the endpoint list. The order is that of the simulator's protocol, which
- * refers to them by ordinal.
+ * The type of an endpoint list update. The order must not change: the simulator's protocol uses the
+ * ordinals.
  */
 public enum EndpointUpdateType {
-  /** Holds the endpoints that changed, and no others. */
+  /** Contains only the endpoints that have changed. */
   DELTA,
-  /** Holds the whole list. */
+  /** Contains the whole list. */
   FULL,
-  /** Holds the whole list as it was known when the instance started; it may be out of date. */
+  /** Contains the whole list as known when the instance started; it may be out of date. */
   CACHED,
-  /** A call to discovery failed; holds no endpoints. */
+  /** A call to discovery failed; contains no endpoints. */
   FAILED
 }
--- a/src/main/java/loadbalancer/model/Idempotency.java
+++ b/src/main/java/loadbalancer/model/Idempotency.java
@@ -1,11 +1,11 @@
 package loadbalancer.model;
 
-/** Whether a request of a class may be sent again once an attempt may have run. */
+/** Whether a request of a class may be sent again after an attempt that may have run. */
 public enum Idempotency {
-  /** It may run any number of times. */
+  /** The request may run any number of times. */
   IDEMPOTENT,
   /** Endpoints drop repeats with the same idempotency key, see {@link DeduplicationScope}. */
   DEDUPLICATED,
-  /** It must not run twice. */
+  /** The request must not run twice. */
   AT_MOST_ONCE
 }
--- a/src/main/java/loadbalancer/model/LimitSettings.java
+++ b/src/main/java/loadbalancer/model/LimitSettings.java
@@ -1,15 +1,15 @@
 package loadbalancer.model;
 
 /**
- * What an instance may do.
+ * The limits on what an instance may do.
  *
- * @param maxAttempts attempts of one request, the first included
+ * @param maxAttempts maximum number of attempts of a request, including the first
  * @param cancellation whether a running attempt may be cancelled
- * @param parallelAttempts whether a request may have several running attempts
- * @param retryAfterAdvice whether a rejection may say when to come back
- * @param maxRetryAfterMillis the longest such advice, in milliseconds
- * @param connectTimeoutMillis how long a connection may take to come up
- * @param idleTimeoutMillis how long endpoints keep an idle connection
+ * @param parallelAttempts whether a request may have several running attempts at a time
+ * @param retryAfterAdvice whether a rejection may advise the client when to retry
+ * @param maxRetryAfterMillis the longest advised time until the retry
+ * @param connectTimeoutMillis timeout for establishing a connection
+ * @param idleTimeoutMillis time for which endpoints keep an idle connection
  */
 public record LimitSettings(
     int maxAttempts,
--- a/src/main/java/loadbalancer/model/LoadReportMode.java
+++ b/src/main/java/loadbalancer/model/LoadReportMode.java
@@ -1,10 +1,10 @@
 package loadbalancer.model;
 
-/** How load reports reach an instance. */
+/** How an instance receives the load reports of endpoints. */
 public enum LoadReportMode {
-  /** On responses. */
+  /** In the headers of responses. */
   PIGGYBACK,
-  /** In answer to health checks. */
+  /** In the responses to health checks. */
   HEALTH_CHECK,
   /** Not at all. */
   NONE
--- a/src/main/java/loadbalancer/model/PolicySettings.java
+++ b/src/main/java/loadbalancer/model/PolicySettings.java
@@ -3,23 +3,25 @@
 import java.util.List;
 
 /**
- * What an instance is told at its start.
+ * The settings with which an instance starts.
  *
- * @param instanceIndex this instance's number among the instances of its tier, from 0
- * @param instanceCount the instances of its tier
- * @param tier the tier that it sends to; 0 is the one that clients reach
+ * @param instanceIndex index of this instance among the instances of its tier, from 0
+ * @param instanceCount number of instances of its tier
+ * @param tier the tier whose endpoints it sends to; 0 is the one that clients reach directly
  * @param zone index of its own zone
- * @param machineTypeCount the machine types that endpoints may have
- * @param explicitWatch whether discovery notifies only those who watch it
- * @param priorityByWork whether priority weights count per unit of work and not per request
- * @param worstClassWeight the share of the result, 0 to 1, that depends on the worst served class
- * @param loadReportMode how load reports come
- * @param loadReportFields the fields of a load report, in order
- * @param requestClasses the classes of requests
+ * @param machineTypeCount number of machine types that endpoints may have
+ * @param explicitWatch whether discovery notifies only instances that watch the endpoint list;
+ *     otherwise it notifies all
+ * @param priorityByWork whether priority weights apply per unit of work instead of per request
+ * @param worstClassWeight share of the platform's score of the service, 0 to 1, that depends on the
+ *     worst served class alone
+ * @param loadReportMode how load reports are received
+ * @param loadReportFields names of the fields of a load report, in order
+ * @param requestClasses the request classes
  * @param tenants the tenants
- * @param limits what it may do
- * @param rules the figures of the rules
- * @param costs what side effects cost
+ * @param limits limits on what it may do
+ * @param rules parameters of the platform's rules
+ * @param costs cost of side effects
  */
 public record PolicySettings(
     int instanceIndex,
@@ -38,12 +40,12 @@
     RuleSettings rules,
     CostSettings costs) {
 
-  /** A copy for another instance of the tier. */
+  /** Returns a copy for another instance of the tier. */
   public PolicySettings withInstanceIndex(int index) {
     return copy(index, requestClasses);
   }
 
-  /** A copy with other request classes. */
+  /** Returns a copy with other request classes. */
   public PolicySettings withRequestClasses(List<RequestClass> classes) {
     return copy(instanceIndex, classes);
   }
--- a/src/main/java/loadbalancer/model/RequestClass.java
+++ b/src/main/java/loadbalancer/model/RequestClass.java
@@ -3,24 +3,27 @@
 import java.util.List;
 
 /**
- * A class of requests.
+ * A request class: requests with the same objectives, idempotency and placement.
  *
  * @param name its name on the wire
- * @param latencyObjectiveMillis a response within this time counts in full
- * @param objectivePerCost the objective grows by this many milliseconds for each millisecond of the
- *     request's own expected work
- * @param deadlineMillis how long a client waits, over all its retries
- * @param priorityWeight what a response within the objective is worth
- * @param lateResponseValue the share of the priority weight that is left after the objective
- * @param idempotency whether it may be sent again
- * @param deduplicationScope which endpoints drop repeats, if they do
- * @param deduplicationWindowMillis how long they do so, from the first attempt that may have run
+ * @param latencyObjectiveMillis a response within this time has its full value
+ * @param objectivePerCost milliseconds by which the objective grows for each millisecond of the
+ *     request's own cost estimate
+ * @param deadlineMillis time for which a client waits, including all its retries
+ * @param priorityWeight value of a response within the objective
+ * @param lateResponseValue value of a response after the objective, as a share of the priority
+ *     weight
+ * @param idempotency whether a request may be sent again after an attempt that may have run
+ * @param deduplicationScope the endpoints that drop repeats, if the class is deduplicated
+ * @param deduplicationWindowMillis time for which they do so, from the send of the first attempt
+ *     that may have run
  * @param streamed whether responses are streams
- * @param orderedByKey whether requests with the same key take turns in order of arrival; all such
- *     classes share their keys, and a request without a key is free
- * @param allowedZones the only zones that it may be sent to; null for all, empty for none
- * @param allowedMachineTypes the only machine types that it may be sent to; null for all, empty for
- *     none
+ * @param orderedByKey whether requests with the same ordering key are sent one at a time, in order
+ *     of arrival. The order spans all classes for which this is true; a request without a key is
+ *     not ordered.
+ * @param allowedZones the zones that requests may be sent to; null for all, empty for none
+ * @param allowedMachineTypes the machine types that requests may be sent to; null for all, empty
+ *     for none
  */
 public record RequestClass(
     String name,
@@ -37,13 +40,13 @@
     List<Integer> allowedZones,
     List<Integer> allowedMachineTypes) {
 
-  /** Whether placement allows an endpoint for this class, at any attempt. */
+  /** Whether the placement of this class allows an endpoint. */
   public boolean allows(Endpoint endpoint) {
     return (allowedZones == null || allowedZones.contains(endpoint.zone()))
         && (allowedMachineTypes == null || allowedMachineTypes.contains(endpoint.machineType()));
   }
 
-  /** A copy with another placement. */
+  /** Returns a copy with another placement. */
   public RequestClass withPlacement(List<Integer> zones, List<Integer> machineTypes) {
     return new RequestClass(
         name,
--- a/src/main/java/loadbalancer/model/RuleSettings.java
+++ b/src/main/java/loadbalancer/model/RuleSettings.java
@@ -1,18 +1,19 @@
 package loadbalancer.model;
 
 /**
- * The figures of the rules that an instance must keep.
+ * The parameters of the platform's rules that an instance must follow.
  *
- * @param responseGraceMillis how long after its deadline a request may still get its response
- * @param drainGraceMillis how long after the notification a draining endpoint still accepts
+ * @param responseGraceMillis time after its deadline in which a request may still get its response
+ * @param drainGraceMillis time after the notification in which a draining endpoint still accepts
  *     requests
- * @param pollIntervalMillis the base of the backoff after failed calls to discovery and of the time
- *     after which a suspect endpoint list counts as stale
- * @param initialCapacity the share of its capacity that an endpoint has when it starts
- * @param warmUpMillis the time in which that share grows evenly to 1
- * @param collapseMultiple a warming endpoint collapses at this multiple of its present capacity
- * @param keySettleMillis how long a key stays reserved after an attempt that may still run was
- *     abandoned
+ * @param pollIntervalMillis interval from which the backoff after failed calls to discovery is
+ *     derived, and the time after which a suspect endpoint list counts as stale
+ * @param initialCapacity share of its full capacity that an endpoint has when it starts
+ * @param warmUpMillis time in which that share grows linearly to 1
+ * @param collapseMultiple a load of this multiple of its present capacity makes an endpoint that is
+ *     warming up collapse
+ * @param keySettleMillis time for which an ordering key stays reserved after an attempt that may
+ *     still be running was abandoned
  */
 public record RuleSettings(
     double responseGraceMillis,
--- a/src/main/java/loadbalancer/model/package-info.java
+++ b/src/main/java/loadbalancer/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Immutable values that cross the borders between packages: endpoints, requests, attempts and
- * settings. No class here knows any other package. All are safe to share between threads.
+ * Immutable values that the packages exchange: endpoints, requests, attempt results and settings.
+ * The classes here depend on no other package and are thread-safe.
  */
 package loadbalancer.model;
--- a/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -58,7 +58,8 @@
   /**
    * The probability of rejecting this request. Averaged over all requests of the class, it equals
    * the rejected share of the class. Requests that their clients marked as retries are rejected
-   * first: their clients have already waited, and a first try that is served causes no retry.
+   * first: their clients have already waited, and an initial request that is served causes no
+   * retry.
    */
   private static double rejectionProbability(InFlightRequest request) {
     RequestClassStatistics requestClass = request.statistics();
--- a/src/main/java/loadbalancer/policy/DiscoveryRefresh.java
+++ b/src/main/java/loadbalancer/policy/DiscoveryRefresh.java
@@ -6,38 +6,46 @@
 import loadbalancer.model.PolicySettings;
 
 /**
- * When discovery is asked again: with backoff after failed calls, and when endpoints that are
- * listed as ready accept nothing, as the watch may be stale without a sign.
+ * Decides when discovery is called again: with backoff after failed calls, and when endpoints that
+ * are listed as ready accept no requests, as a watch can become stale without any error.
  */
 final class DiscoveryRefresh {
 
-  /** First wait after a failed call, as a share of the poll interval; it doubles. */
-  private static final double FIRST_BACKOFF_POLL_SHARE = 0.0125;
+  /** Backoff after the first failed call, as a share of the poll interval. */
+  private static final double INITIAL_BACKOFF_POLL_SHARE = 0.0125;
 
-  /** Longest wait after a failed call, as a share of the poll interval. */
+  /** Growth of the backoff with each further failed call. */
+  private static final double BACKOFF_FACTOR = 2;
+
+  /** Longest backoff as a share of the poll interval. */
   private static final double MAX_BACKOFF_POLL_SHARE = 0.1;
 
   /**
-   * Longest wait where updates are pushed, as a share of the drain grace: an update counts as
-   * notified even while no watch is open, and must be acted on within the grace.
+   * Longest backoff as a share of the drain grace, where discovery pushes updates without being
+   * asked: an update counts as notified even while no watch is open, and has to be acted on within
+   * the drain grace.
    */
   private static final double MAX_BACKOFF_DRAIN_GRACE_SHARE = 0.25;
 
-  /** Longest wait: updates count as notified soon after discovery could be reached. */
+  /** Longest backoff: updates count as notified soon after discovery can be reached again. */
   private static final double MAX_BACKOFF_MILLIS = 1_000;
 
-  private static final double BACKOFF_FACTOR = 2;
-
   /**
-   * Rejected or unconnected attempts in a row, at an endpoint listed as ready, that make the list
-   * suspect.
+   * The endpoint list is suspect after this many consecutive rejected attempts or failed connects
+   * at an endpoint that is listed as ready.
    */
   private static final int STALE_LIST_REJECTIONS = 3;
 
-  /** Least time since the last contact before the watch is replaced, as a share of the interval. */
+  /**
+   * Least time since the last contact with discovery before a suspect watch is restarted, as a
+   * share of the poll interval.
+   */
   private static final double STALENESS_POLL_SHARE = 0.3;
 
-  /** Growth of that time while no update comes: a crashed endpoint looks like a stale list. */
+  /**
+   * Growth of that time with each restart of a suspect watch until an update arrives: an endpoint
+   * that has crashed but is still listed looks like a stale list, and a restart does not help then.
+   */
   private static final double STALENESS_BACKOFF_FACTOR = 2;
 
   private final PolicySettings settings;
@@ -45,7 +53,7 @@
   private final SplittableRandom random;
   private double lastContactAtMillis;
   private double stalenessTimeoutMillis;
-  private int consecutiveFailures;
+  private int consecutiveFailedCalls;
 
   DiscoveryRefresh(
       PolicySettings settings, PolicyActions actions, SplittableRandom random, double now) {
@@ -56,51 +64,56 @@
     resetStalenessTimeout();
   }
 
-  /** Begins to watch, where discovery notifies only those who do. */
+  /** Starts the first watch, if discovery notifies only instances that watch. */
   void start() {
     if (settings.explicitWatch()) {
       actions.watchEndpoints(true);
     }
   }
 
-  /** Begins the watch anew, after a failed call. */
+  /** Restarts the watch after the backoff that follows a failed call. */
   void restartWatch() {
     actions.watchEndpoints(true);
   }
 
-  /** An update, or the failure of a call, has come from discovery. */
-  void recordContact(boolean withEndpoints, double now) {
+  /** Records an update from discovery or a failed call. */
+  void recordContact(boolean hasEndpoints, double now) {
     lastContactAtMillis = now;
-    if (withEndpoints) {
+    if (hasEndpoints) {
       resetStalenessTimeout();
     }
   }
 
   void callSucceeded() {
-    consecutiveFailures = 0;
+    consecutiveFailedCalls = 0;
   }
 
-  /** Schedules the next call, after the backoff and up to as much again at random. */
+  /** Schedules the next call after the backoff plus a random jitter of up to the same length. */
   void callFailed(double now) {
-    double backoff = backoffMillis();
-    consecutiveFailures++;
-    actions.scheduleTimer(TimerToken.DISCOVERY_RETRY, now + backoff * (1 + random.nextDouble()));
+    double backoffMillis = nextBackoffMillis();
+    consecutiveFailedCalls++;
+    actions.scheduleTimer(
+        TimerToken.DISCOVERY_RETRY, now + backoffMillis * (1 + random.nextDouble()));
   }
 
-  private double backoffMillis() {
+  private double nextBackoffMillis() {
     double pollShare =
         Math.min(
             MAX_BACKOFF_POLL_SHARE,
-            FIRST_BACKOFF_POLL_SHARE * Math.pow(BACKOFF_FACTOR, consecutiveFailures));
-    double backoff = pollShare * settings.rules().pollIntervalMillis();
+            INITIAL_BACKOFF_POLL_SHARE * Math.pow(BACKOFF_FACTOR, consecutiveFailedCalls));
+    double backoffMillis = pollShare * settings.rules().pollIntervalMillis();
     if (!settings.explicitWatch()) {
-      backoff =
-          Math.min(backoff, MAX_BACKOFF_DRAIN_GRACE_SHARE * settings.rules().drainGraceMillis());
+      backoffMillis =
+          Math.min(
+              backoffMillis, MAX_BACKOFF_DRAIN_GRACE_SHARE * settings.rules().drainGraceMillis());
     }
-    return Math.min(backoff, MAX_BACKOFF_MILLIS);
+    return Math.min(backoffMillis, MAX_BACKOFF_MILLIS);
   }
 
-  /** Begins the watch anew if the outcome of an attempt makes the list suspect. */
+  /**
+   * Counts the consecutive rejections of an endpoint and restarts the watch if they make the
+   * endpoint list suspect.
+   */
   void attemptFinished(EndpointStatistics endpoint, AttemptOutcome outcome, double now) {
     if (outcome == AttemptOutcome.REJECTED || outcome == AttemptOutcome.CONNECT_FAILED) {
       endpoint.recordRejection();
--- a/src/main/java/loadbalancer/policy/IdleConnectionRelease.java
+++ b/src/main/java/loadbalancer/policy/IdleConnectionRelease.java
@@ -3,8 +3,9 @@
 import loadbalancer.model.AttemptOutcome;
 
 /**
- * Closes idle connections to an endpoint that accepts no more: the idle ones of many instances fill
- * its table although it has capacity. Elsewhere they stay.
+ * Closes idle connections to an endpoint that accepts no further connections: the idle connections
+ * of many instances can exhaust its connection limit although it has capacity. Idle connections to
+ * other endpoints are kept for reuse.
  */
 final class IdleConnectionRelease {
 
@@ -16,7 +17,10 @@
     this.idleTimeoutMillis = idleTimeoutMillis;
   }
 
-  /** Closes them, if none is in use, for as long after a failed connect as idle ones last. */
+  /**
+   * After a failed connect, closes the idle connections to the endpoint whenever an attempt ends
+   * and no other is in flight there, for as long as an endpoint keeps an idle connection.
+   */
   void attemptFinished(EndpointStatistics endpoint, AttemptOutcome outcome, double now) {
     if (outcome == AttemptOutcome.CONNECT_FAILED) {
       endpoint.setConnectionsFullUntilMillis(now + idleTimeoutMillis);
--- a/src/main/java/loadbalancer/policy/InFlightRequest.java
+++ b/src/main/java/loadbalancer/policy/InFlightRequest.java
@@ -45,7 +45,10 @@
     this.usefulUntilMillis = computeUsefulUntilMillis(clientRequest, requestClass, arrivedAtMillis);
   }
 
-  /** The deadline; or the end of the latency objective, if a late response has no value. */
+  /**
+   * The deadline or, if a late response has no value, the end of the latency objective where that
+   * is earlier: work on a response that will have no value wastes capacity.
+   */
   private static double computeUsefulUntilMillis(
       ClientRequest clientRequest, RequestClass requestClass, double arrivedAtMillis) {
     if (requestClass.lateResponseValue() > 0) {
--- a/src/main/java/loadbalancer/policy/PendingRequests.java
+++ b/src/main/java/loadbalancer/policy/PendingRequests.java
@@ -31,7 +31,10 @@
         - KeyedRequestQueue.expectedWaitMillis(request);
   }
 
-  /** Sets until when the request may stay queued: not past its latest send. */
+  /**
+   * Sets until when the request may stay queued: for {@link #MAX_QUEUED_TIME_SHARE} of the time
+   * from arrival to deadline, but not past its latest send.
+   */
   static void limitQueueTime(InFlightRequest request, double latestSendMillis) {
     double arrivedAtMillis = request.arrivedAtMillis();
     request.setQueuedUntilMillis(
--- a/src/main/java/loadbalancer/policy/PolicyActions.java
+++ b/src/main/java/loadbalancer/policy/PolicyActions.java
@@ -1,33 +1,35 @@
 package loadbalancer.policy;
 
 /**
- * What a {@link LoadBalancingPolicy} can ask of its host. Called only during an event method, on
- * the thread of that event; every action takes effect at the time of the event.
+ * The actions that a {@link LoadBalancingPolicy} can request from its host. Called only during an
+ * event method and on its thread; every action takes effect at the time of the event.
  */
 public interface PolicyActions {
 
-  /** Every other instance of the tier. */
+  /** Peer index that stands for all other instances of the tier. */
   int ALL_PEERS = -1;
 
   /**
-   * Sends an attempt; those of a request are numbered 0, 1, 2 ... in the order of these calls.
+   * Sends an attempt. The attempts of a request are numbered 0, 1, 2 ... in the order of these
+   * calls.
    *
-   * @param timeoutMillis from now on; 0 for the request's deadline
+   * @param timeoutMillis time from this call until the attempt times out; 0 for the request's
+   *     deadline
    */
   void sendAttempt(long requestId, long endpointId, double timeoutMillis);
 
   /**
-   * Final response: rejected, and trying again is harmless.
+   * Gives the request its final response: it was rejected, and the client may safely retry it.
    *
-   * @param retryAfterMillis when to come back; 0 gives no advice
+   * @param retryAfterMillis time after which the client should retry; 0 for no advice
    */
   void reject(long requestId, double retryAfterMillis);
 
-  /** Final response: failed, with no promise about effects. */
+  /** Gives the request its final response: it failed and may or may not have had an effect. */
   void failRequest(long requestId);
 
-  /** Stops waiting for one attempt. */
-  void cancelAttempt(long requestId, int attempt);
+  /** Cancels a running attempt; the others of the request go on. */
+  void cancelAttempt(long requestId, int attemptNumber);
 
   /** Sends a health check. {@link LatencyWeightedPolicy} does not use it. */
   void checkHealth(long endpointId);
@@ -36,18 +38,23 @@
   void closeIdleConnections(long endpointId);
 
   /**
-   * Asks discovery once for the whole endpoint list. {@link LatencyWeightedPolicy} does not use it.
+   * Fetches the whole endpoint list from discovery once. {@link LatencyWeightedPolicy} does not use
+   * it.
    */
   void fetchEndpoints();
 
-  /** Starts to watch the endpoint list anew, or ends the watch. */
+  /**
+   * Starts or stops the watch of the endpoint list.
+   *
+   * @param enabled true to start the watch or to restart a running one; false to stop it
+   */
   void watchEndpoints(boolean enabled);
 
-  /** Asks for a {@link LoadBalancingPolicy#timerExpired} event at or after the given time. */
+  /** Schedules a {@link LoadBalancingPolicy#timerExpired} event at or after the given time. */
   void scheduleTimer(long token, double atMillis);
 
   /**
-   * Sends a message to one instance of this tier, or to all with {@link #ALL_PEERS}. {@link
+   * Sends a message to another instance of the tier, or to all with {@link #ALL_PEERS}. {@link
    * LatencyWeightedPolicy} does not use it.
    */
   void sendToPeer(int peerIndex, byte[] payload);
--- a/src/main/java/loadbalancer/policy/package-info.java
+++ b/src/main/java/loadbalancer/policy/package-info.java
@@ -1,10 +1,12 @@
 /**
- * Every decision of the load balancer: admission, choice of endpoint, retries, hedges, queues and
- * the refresh of the endpoint list.
+ * All decisions of the load balancer: admission, endpoint selection, retries, hedged requests,
+ * queueing and the refresh of the endpoint list.
  *
  * <p>{@link loadbalancer.policy.LoadBalancingPolicy} is the interface to the host, which calls it
- * on one thread; {@link loadbalancer.policy.LatencyWeightedPolicy} asks the rules in turn. Each
- * rule is a class with its inputs, units and constants; the {@code Statistics} classes hold the
- * evidence. No clock, thread or socket: the same events and seed give the same actions.
+ * on one thread. {@link loadbalancer.policy.LatencyWeightedPolicy} implements it and delegates each
+ * kind of decision to a class of its own. The {@code Statistics} classes hold what is known about
+ * endpoints, machine types and request classes. All times are in milliseconds, and {@code now} is
+ * the time of the event that is being handled. There is no clock, thread or socket here: the same
+ * events, settings and seed give the same actions.
  */
 package loadbalancer.policy;
