--- a/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -9,37 +9,41 @@
 import loadbalancer.model.Idempotency;
 import org.junit.jupiter.api.Test;
 
-/** Load shedding: what tells of overload, what is rejected, when that ends. */
+/**
+ * Load shedding: which attempts indicate overload, which requests are rejected, and for how long.
+ */
 class AdmissionControllerTest {
 
   @Test
-  void underOverloadTheLeastValuableClassIsRejectedFirstAndOnlyInTheClientTier() {
+  void underOverloadTheLeastValuableClassIsRejectedFirstAndOnlyInTheClientFacingTier() {
     for (int tier = 0; tier < 2; tier++) {
       PolicyHarness harness =
           new PolicyHarness(TestSettings.settings().tier(tier).lateResponseValue(0).build(), 1);
       harness.updateEndpoints(
           EndpointUpdateType.CACHED, TestSettings.endpoint(1), TestSettings.endpoint(2));
-      int[] sent = new int[2];
+      int[] sentByClass = new int[2];
       for (int i = 0; i < 400; i++) {
-        int before = harness.sentAttempts.size();
+        int sentBefore = harness.sentAttempts.size();
         harness.request(i, i % 2);
         harness.advance(10);
-        if (harness.sentAttempts.size() > before) {
-          sent[i % 2]++;
-          // A third of the attempts take most of their objective.
+        if (harness.sentAttempts.size() > sentBefore) {
+          sentByClass[i % 2]++;
+          // A third of the attempts take 700 ms of their objective of 1000 ms.
           harness.finishAfter(harness.lastAttempt(), AttemptOutcome.OK, i % 3 == 0 ? 700 : 100);
         }
       }
       if (tier == 0) {
-        assertTrue(sent[1] < 190 && sent[1] < sent[0], sent[0] + " and " + sent[1]);
+        assertTrue(
+            sentByClass[1] < 190 && sentByClass[1] < sentByClass[0],
+            sentByClass[0] + " sent of class 0 and " + sentByClass[1] + " of class 1");
       } else {
-        assertEquals(400, sent[0] + sent[1]);
+        assertEquals(400, sentByClass[0] + sentByClass[1]);
       }
     }
   }
 
   @Test
-  void sheddingEndsSoonAfterItsCauseEvenWithFewAttempts() {
+  void sheddingEndsSoonAfterTheOverloadEvenAtALowRequestRate() {
     PolicyHarness harness =
         new PolicyHarness(TestSettings.settings().lateResponseValue(0).build(), 1);
     harness.updateEndpoints(
@@ -51,8 +55,8 @@
         harness.finishAfter(harness.lastAttempt(), AttemptOutcome.OK, 900);
       }
     }
-    int rejectedDuringOverload = harness.rejected.size();
-    assertTrue(rejectedDuringOverload > 20, rejectedDuringOverload + " rejected");
+    int rejected = harness.rejected.size();
+    assertTrue(rejected > 20, rejected + " rejected during the overload");
     for (int i = 200; i < 1_000; i++) {
       harness.request(i, 0);
       harness.advance(20);
@@ -60,15 +64,15 @@
         harness.finishAfter(harness.lastAttempt(), AttemptOutcome.OK, 50);
       }
       if (i == 600) {
-        // Eight seconds later.
-        rejectedDuringOverload = harness.rejected.size();
+        // Eight seconds after the overload, shedding has to have ended.
+        rejected = harness.rejected.size();
       }
     }
-    assertEquals(rejectedDuringOverload, harness.rejected.size());
+    assertEquals(rejected, harness.rejected.size());
   }
 
   @Test
-  void clientRetriesAreRejectedBeforeFirstTries() {
+  void clientRetriesAreRejectedBeforeInitialRequests() {
     PolicyHarness harness =
         new PolicyHarness(TestSettings.settings().lateResponseValue(0).build(), 1);
     harness.updateEndpoints(
@@ -84,9 +88,11 @@
         harness.finishAfter(harness.lastAttempt(), AttemptOutcome.OK, 900);
       }
     }
-    long retries = harness.rejected.stream().filter(id -> id % 2 == 1).count();
-    long first = harness.rejected.size() - retries;
-    assertTrue(retries > 40 && first < retries / 4, retries + " retries and " + first + " others");
+    long rejectedRetries = harness.rejected.stream().filter(id -> id % 2 == 1).count();
+    long rejectedInitialRequests = harness.rejected.size() - rejectedRetries;
+    assertTrue(
+        rejectedRetries > 40 && rejectedInitialRequests < rejectedRetries / 4,
+        rejectedRetries + " retries and " + rejectedInitialRequests + " initial requests rejected");
   }
 
   @Test
@@ -105,17 +111,17 @@
       harness.request(i, 0);
       harness.advance(20);
     }
-    // No attempt has ended, but the oldest are past half their objective.
-    int rejected = harness.rejected.size();
+    // No attempt has ended, but the oldest have been running for over half of their objective.
+    int rejectedBefore = harness.rejected.size();
     for (; i < 60; i++) {
       harness.request(i, 0);
       harness.advance(20);
     }
-    assertTrue(harness.rejected.size() > rejected, harness.rejected.size() + " rejected");
+    assertTrue(harness.rejected.size() > rejectedBefore, harness.rejected.size() + " rejected");
   }
 
   @Test
-  void lateAttemptsRaiseTheLevelOnlySoFarAboveTheShareAtTheirSend() {
+  void lateAttemptsRaiseTheLevelByALimitedAmountAboveTheRejectedShareAtTheirSend() {
     PolicyHarness harness =
         new PolicyHarness(
             TestSettings.settings()
@@ -137,7 +143,7 @@
       harness.request(i, 0);
       harness.advance(9);
     }
-    // All of these become overdue, one after another; none was sent while anything was rejected.
+    // All of these attempts become late one by one; all were sent while nothing was rejected.
     assertTrue(harness.rejected.isEmpty());
     harness.advance(1_000);
     for (int i = 50; i < 1_050; i++) {
@@ -161,20 +167,22 @@
         harness.request(i, 1);
         harness.advance(1);
       }
-      // Expected is a fifth of the objective, with five attempts at once: 25 would take all of it.
-      int cheap = harness.sentAttempts.size();
+      // An endpoint is expected to take 200 ms for five concurrent attempts, so 25 attempts in
+      // flight
+      // would take the whole objective of 1000 ms.
+      int sentOfClass1 = harness.sentAttempts.size();
       for (int i = 100; i < 200; i++) {
         harness.request(i, 0);
       }
-      int valuable = harness.sentAttempts.size() - cheap;
+      int sentOfClass0 = harness.sentAttempts.size() - sentOfClass1;
       if (tier == 0) {
         assertTrue(
-            cheap > 10 && valuable > 0 && cheap + valuable <= 50,
-            cheap + " and " + valuable + " sent");
-        assertEquals(200 - cheap - valuable, harness.rejected.size());
+            sentOfClass1 > 10 && sentOfClass0 > 0 && sentOfClass1 + sentOfClass0 <= 50,
+            sentOfClass1 + " sent of class 1 and " + sentOfClass0 + " of class 0");
+        assertEquals(200 - sentOfClass1 - sentOfClass0, harness.rejected.size());
       } else {
-        assertEquals(100, cheap);
-        assertEquals(100, valuable);
+        assertEquals(100, sentOfClass1);
+        assertEquals(100, sentOfClass0);
       }
     }
   }
@@ -194,24 +202,25 @@
         TestSettings.endpoint(2),
         TestSettings.endpoint(3),
         TestSettings.endpoint(4));
-    int hung = 0;
+    int attemptsAtHungEndpoint = 0;
     for (int i = 0; i < 400; ) {
-      int sent = harness.sentAttempts.size();
+      int sentBefore = harness.sentAttempts.size();
       for (int end = i + 8; i < end; i++) {
         harness.request(i, 0);
       }
       harness.advance(100);
-      for (PolicyHarness.SentAttempt one :
-          List.copyOf(harness.sentAttempts.subList(sent, harness.sentAttempts.size()))) {
-        // It never responds; its attempts become late while they run.
-        if (one.endpointId() == 1) {
-          hung++;
+      for (PolicyHarness.SentAttempt attempt :
+          List.copyOf(harness.sentAttempts.subList(sentBefore, harness.sentAttempts.size()))) {
+        // This endpoint never responds; its attempts become late while they are running.
+        if (attempt.endpointId() == 1) {
+          attemptsAtHungEndpoint++;
         } else {
-          harness.finish(one, AttemptOutcome.OK);
+          harness.finish(attempt, AttemptOutcome.OK);
         }
       }
     }
-    assertTrue(hung > 3, hung + " at the endpoint that hangs");
+    assertTrue(
+        attemptsAtHungEndpoint > 3, attemptsAtHungEndpoint + " attempts at the hung endpoint");
     assertEquals(List.of(), harness.rejected);
   }
 
@@ -230,37 +239,37 @@
         TestSettings.endpoint(2),
         TestSettings.endpoint(3),
         TestSettings.endpoint(4));
-    int id = 0;
+    int requestId = 0;
     for (int round = 0; round < 10; round++) {
-      int sent = harness.sentAttempts.size();
+      int sentBefore = harness.sentAttempts.size();
       for (int i = 0; i < 100; i++) {
-        harness.request(id++, 0);
+        harness.request(requestId++, 0);
       }
       harness.advance(TestSettings.OBJECTIVE_MILLIS);
-      List.copyOf(harness.sentAttempts.subList(sent, harness.sentAttempts.size()))
-          .forEach(one -> harness.finish(one, AttemptOutcome.TIMEOUT));
+      List.copyOf(harness.sentAttempts.subList(sentBefore, harness.sentAttempts.size()))
+          .forEach(attempt -> harness.finish(attempt, AttemptOutcome.TIMEOUT));
     }
-    int rejected = harness.rejected.size();
+    int rejectedBefore = harness.rejected.size();
     for (int i = 0; i < 200; i++) {
       if (i == 50) {
         assertTrue(
-            harness.rejected.size() - rejected > 10,
-            harness.rejected.size() - rejected + " rejected");
-        rejected = harness.rejected.size();
+            harness.rejected.size() - rejectedBefore > 10,
+            harness.rejected.size() - rejectedBefore + " rejected");
+        rejectedBefore = harness.rejected.size();
       }
-      harness.request(id, 0);
+      harness.request(requestId, 0);
       harness.advance(100);
-      if (harness.isOpen(id++)) {
+      if (harness.isOpen(requestId++)) {
         harness.finish(harness.lastAttempt(), AttemptOutcome.OK);
       }
     }
-    // From five seconds after the overload on.
-    assertEquals(rejected, harness.rejected.size());
+    // Nothing was rejected later than five seconds after the overload.
+    assertEquals(rejectedBefore, harness.rejected.size());
   }
 
   @Test
-  void earlyErrorsAreNoSignOfOverload() {
-    for (AttemptOutcome result :
+  void earlyErrorsAreNoSignOfOverloadButRejectionsAre() {
+    for (AttemptOutcome outcome :
         new AttemptOutcome[] {AttemptOutcome.ERROR, AttemptOutcome.REJECTED}) {
       PolicyHarness harness =
           new PolicyHarness(
@@ -273,22 +282,24 @@
       for (int i = 0; i < 200; i++) {
         harness.request(i, 0);
         if (harness.isOpen(i)) {
-          harness.finishAfter(harness.lastAttempt(), result, 5);
+          harness.finishAfter(harness.lastAttempt(), outcome, 5);
         }
       }
-      long shed =
+      long rejectedOnArrival =
           200
               - harness.sentAttempts.stream()
                   .map(PolicyHarness.SentAttempt::requestId)
                   .distinct()
                   .count();
       assertEquals(
-          result == AttemptOutcome.REJECTED, shed > 0, shed + " rejected without an attempt");
+          outcome == AttemptOutcome.REJECTED,
+          rejectedOnArrival > 0,
+          outcome + ": " + rejectedOnArrival + " requests rejected without an attempt");
     }
   }
 
   @Test
-  void overloadOfARestrictedClassRejectsNothingOfTheOthers() {
+  void overloadOfAClassWithRestrictedPlacementCausesNoRejectionsOfOtherClasses() {
     PolicyHarness harness =
         new PolicyHarness(
             TestSettings.settings().allowedMachineTypes(1).lateResponseValue(0).build(), 1);
@@ -296,17 +307,17 @@
         EndpointUpdateType.CACHED,
         TestSettings.endpoint(1),
         TestSettings.endpoint(2).machineType(1));
-    int[] rejected = new int[2];
+    int[] rejectedByClass = new int[2];
     for (int i = 0; i < 400; i++) {
       harness.request(i, i % 2);
       harness.advance(20);
       if (harness.isOpen(i)) {
         harness.finishAfter(harness.lastAttempt(), AttemptOutcome.OK, i % 2 == 0 ? 900 : 100);
       } else {
-        rejected[i % 2]++;
+        rejectedByClass[i % 2]++;
       }
     }
-    assertTrue(rejected[0] > 40, rejected[0] + " rejected of the restricted class");
-    assertEquals(0, rejected[1]);
+    assertTrue(rejectedByClass[0] > 40, rejectedByClass[0] + " rejected of the restricted class");
+    assertEquals(0, rejectedByClass[1]);
   }
 }
--- a/src/test/java/loadbalancer/policy/KeyedRequestQueueTest.java
+++ b/src/test/java/loadbalancer/policy/KeyedRequestQueueTest.java
@@ -9,11 +9,11 @@
 import loadbalancer.model.Idempotency;
 import org.junit.jupiter.api.Test;
 
-/** Requests of one key, in order of arrival. */
+/** Requests with the same ordering key are sent in order of arrival. */
 class KeyedRequestQueueTest {
 
   @Test
-  void requestsOfOneKeyAreSentOneByOneInOrderOfArrival() {
+  void requestsWithTheSameKeyAreSentOneAtATimeInOrderOfArrival() {
     PolicyHarness harness =
         new PolicyHarness(TestSettings.settings().orderedByKey(true).build(), 1);
     harness.updateEndpoints(
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void aKeyStaysReservedWhileAnAbandonedAttemptMayRun() {
+  void aKeyStaysReservedWhileAnAbandonedAttemptMayStillBeRunning() {
     PolicyHarness harness =
         new PolicyHarness(TestSettings.settings().orderedByKey(true).build(), 1);
     harness.updateEndpoints(
@@ -41,16 +41,17 @@
     harness.orderedRequest(2, 0, 7);
     harness.disconnectClient(1);
     harness.advance(100);
-    assertEquals(1, harness.sentAttempts.size(), "an attempt of the first is still running");
+    assertEquals(
+        1, harness.sentAttempts.size(), "sent while an attempt of the first request is running");
     harness.finish(harness.lastAttempt(), AttemptOutcome.CANCELLED);
     harness.advance(99);
-    assertEquals(1, harness.sentAttempts.size(), "the key is reserved");
+    assertEquals(1, harness.sentAttempts.size(), "sent while the key is reserved");
     harness.advance(2);
     assertEquals(2, harness.lastAttempt().requestId());
   }
 
   @Test
-  void theFirstRequestOfAKeyMayBeRetried() {
+  void theFirstRequestWithAKeyIsRetriedBeforeTheNextIsSent() {
     PolicyHarness harness =
         new PolicyHarness(TestSettings.settings().orderedByKey(true).tier(1).build(), 1);
     harness.updateEndpoints(
@@ -63,7 +64,7 @@
   }
 
   @Test
-  void aRequestWhoseKeyCannotBeFreeInTimeIsRejectedOnArrival() {
+  void aRequestWhoseKeyWillNotBeReleasedInTimeIsRejectedOnArrival() {
     PolicyHarness harness =
         new PolicyHarness(
             TestSettings.settings().orderedByKey(true).lateResponseValue(0).build(), 1);
@@ -72,16 +73,18 @@
     for (int i = 1; i <= 20; i++) {
       harness.orderedRequest(i, 0, 7);
     }
-    // The first expected latency is 200 ms and the objective 1000 ms: about five can be in time.
+    // The initial expected latency is 200 ms and the objective 1000 ms, so about five requests can
+    // be
+    // served in time.
     assertEquals(1, harness.sentAttempts.size());
     assertTrue(
         harness.rejected.size() > 10 && harness.rejected.size() < 18,
-        harness.rejected + " rejected");
+        harness.rejected.size() + " of 20 requests rejected: " + harness.rejected);
     assertTrue(harness.isOpen(2) && !harness.isOpen(20));
   }
 
   @Test
-  void aRequestThatWaitsForItsKeyIsRejectedInTime() {
+  void aRequestThatWaitsForItsKeyIsRejectedBeforeItsDeadline() {
     PolicyHarness harness =
         new PolicyHarness(
             TestSettings.settings()
--- a/src/test/java/loadbalancer/policy/LoadSheddingTest.java
+++ b/src/test/java/loadbalancer/policy/LoadSheddingTest.java
@@ -16,39 +16,46 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Load shedding over whole runs in virtual time, with several instances and a few endpoints:
- * attempts that are late with and without overload.
+ * Load shedding in simulations of several instances and a few endpoints in virtual time. Attempts
+ * are late because of overload in one simulation, and without overload in the other.
  */
 class LoadSheddingTest {
 
-  private static final double LENGTH_MILLIS = 40_000;
-
-  /** Step of the virtual time. */
-  private static final double STEP_MILLIS = 5;
-
+  private static final double RUN_MILLIS = 40_000;
+  private static final double TIME_STEP_MILLIS = 5;
   private static final int INSTANCES = 20;
   private static final int ENDPOINTS = 4;
 
-  /** Mean work of an attempt under overload. */
+  /** Mean service time of an attempt in the simulation of overload. */
   private static final double MEAN_WORK_MILLIS = 100;
 
+  /** An endpoint rejects attempts that arrive while this many are queued. */
   private static final int QUEUE_LIMIT = 30;
+
+  /** Number of runs with different seeds. */
   private static final int SEEDS = 3;
 
-  /** An attempt at an endpoint, and when it ends or how much work of it is left. */
-  private static final class Work {
+  /** An attempt that an endpoint has received. */
+  private static final class ReceivedAttempt {
     final PolicyHarness instance;
     final PolicyHarness.SentAttempt sent;
-    double left;
-    boolean givenUp;
 
-    Work(PolicyHarness instance, PolicyHarness.SentAttempt sent, double left) {
+    /**
+     * Where latency does not depend on load: end of the attempt; otherwise remaining service time.
+     */
+    double endOrRemainingMillis;
+
+    /** Whether its instance has stopped waiting for it. */
+    boolean timedOut;
+
+    ReceivedAttempt(
+        PolicyHarness instance, PolicyHarness.SentAttempt sent, double endOrRemainingMillis) {
       this.instance = instance;
       this.sent = sent;
-      this.left = left;
+      this.endOrRemainingMillis = endOrRemainingMillis;
     }
 
-    boolean isOverdue() {
+    boolean hasReachedTimeout() {
       return instance.now >= sent.atMillis() + sent.timeoutMillis();
     }
   }
@@ -80,102 +87,109 @@
   }
 
   /**
-   * Share of the requests served in time where latency does not depend on load: six in ten take
-   * over half of the objective, one in nine more than all of it.
+   * Share of the requests that are served in time where latency does not depend on load: six in ten
+   * take over half of the objective, and one in nine more than the objective.
    */
   private static double servedShareWithoutOverload(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    double part = 0.35 * TestSettings.OBJECTIVE_MILLIS;
+    double halfMeanLatencyMillis = 0.35 * TestSettings.OBJECTIVE_MILLIS;
     int served = 0;
-    int asked = 0;
+    int requests = 0;
     for (PolicyHarness instance : instances(seed)) {
-      PriorityQueue<Work> out = new PriorityQueue<>(Comparator.comparingDouble(work -> work.left));
-      int seen = 0;
-      double next = instance.now;
-      for (double end = instance.now + LENGTH_MILLIS;
-          instance.now < end;
-          instance.advance(STEP_MILLIS)) {
-        while (!out.isEmpty() && out.peek().left <= instance.now) {
-          Work work = out.poll();
-          boolean inTime = work.left <= work.sent.atMillis() + work.sent.timeoutMillis();
-          instance.finish(work.sent, inTime ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT);
+      PriorityQueue<ReceivedAttempt> runningAttempts =
+          new PriorityQueue<>(Comparator.comparingDouble(attempt -> attempt.endOrRemainingMillis));
+      int processedAttempts = 0;
+      double nextArrivalMillis = instance.now;
+      for (double endMillis = instance.now + RUN_MILLIS;
+          instance.now < endMillis;
+          instance.advance(TIME_STEP_MILLIS)) {
+        while (!runningAttempts.isEmpty()
+            && runningAttempts.peek().endOrRemainingMillis <= instance.now) {
+          ReceivedAttempt attempt = runningAttempts.poll();
+          boolean inTime =
+              attempt.endOrRemainingMillis
+                  <= attempt.sent.atMillis() + attempt.sent.timeoutMillis();
+          instance.finish(attempt.sent, inTime ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT);
           served += inTime ? 1 : 0;
         }
-        for (; next <= instance.now; next += exponential(random, 100)) {
-          instance.request(asked++, 0);
+        for (; nextArrivalMillis <= instance.now; nextArrivalMillis += exponential(random, 100)) {
+          instance.request(requests++, 0);
         }
-        for (; seen < instance.sentAttempts.size(); seen++) {
-          PolicyHarness.SentAttempt sent = instance.sentAttempts.get(seen);
-          double takes = part + exponential(random, part);
-          out.add(
-              new Work(
+        for (; processedAttempts < instance.sentAttempts.size(); processedAttempts++) {
+          PolicyHarness.SentAttempt sent = instance.sentAttempts.get(processedAttempts);
+          double latencyMillis = halfMeanLatencyMillis + exponential(random, halfMeanLatencyMillis);
+          runningAttempts.add(
+              new ReceivedAttempt(
                   instance,
                   sent,
-                  sent.atMillis() + Math.min(takes, sent.timeoutMillis() + STEP_MILLIS)));
+                  sent.atMillis()
+                      + Math.min(latencyMillis, sent.timeoutMillis() + TIME_STEP_MILLIS)));
         }
       }
     }
-    return (double) served / asked;
+    return (double) served / requests;
   }
 
   /**
-   * Share of the endpoints' capacity that is served in time at a load of so many times their
-   * capacity; abandoned attempts keep running.
+   * Share of the endpoints' capacity that serves requests in time, at a load of {@code loadFactor}
+   * times their capacity. Endpoints keep working on attempts that have timed out.
    */
-  private static double servedCapacityUnderOverload(long seed, double load) {
+  private static double servedCapacityUnderOverload(long seed, double loadFactor) {
     SplittableRandom random = new SplittableRandom(seed);
     List<PolicyHarness> instances = instances(seed);
-    List<ArrayDeque<Work>> queues =
-        Stream.generate(ArrayDeque<Work>::new).limit(ENDPOINTS).toList();
-    int[] seen = new int[INSTANCES];
-    double[] next = new double[INSTANCES];
-    Arrays.fill(next, instances.get(0).now);
-    double apart = MEAN_WORK_MILLIS * INSTANCES / ENDPOINTS / load;
-    long asked = 0;
+    List<ArrayDeque<ReceivedAttempt>> queues =
+        Stream.generate(ArrayDeque<ReceivedAttempt>::new).limit(ENDPOINTS).toList();
+    int[] processedAttempts = new int[INSTANCES];
+    double[] nextArrivalMillis = new double[INSTANCES];
+    Arrays.fill(nextArrivalMillis, instances.get(0).now);
+    double meanArrivalIntervalMillis = MEAN_WORK_MILLIS * INSTANCES / ENDPOINTS / loadFactor;
+    long requests = 0;
     int served = 0;
-    for (double end = instances.get(0).now + LENGTH_MILLIS; instances.get(0).now < end; ) {
+    for (double endMillis = instances.get(0).now + RUN_MILLIS; instances.get(0).now < endMillis; ) {
       for (int i = 0; i < INSTANCES; i++) {
         PolicyHarness instance = instances.get(i);
-        for (; next[i] <= instance.now; next[i] += exponential(random, apart)) {
-          instance.request(asked++, 0);
+        for (;
+            nextArrivalMillis[i] <= instance.now;
+            nextArrivalMillis[i] += exponential(random, meanArrivalIntervalMillis)) {
+          instance.request(requests++, 0);
         }
-        for (; seen[i] < instance.sentAttempts.size(); seen[i]++) {
-          PolicyHarness.SentAttempt sent = instance.sentAttempts.get(seen[i]);
-          ArrayDeque<Work> queue = queues.get((int) sent.endpointId() - 1);
+        for (; processedAttempts[i] < instance.sentAttempts.size(); processedAttempts[i]++) {
+          PolicyHarness.SentAttempt sent = instance.sentAttempts.get(processedAttempts[i]);
+          ArrayDeque<ReceivedAttempt> queue = queues.get((int) sent.endpointId() - 1);
           if (queue.size() < QUEUE_LIMIT) {
-            queue.add(new Work(instance, sent, exponential(random, MEAN_WORK_MILLIS)));
+            queue.add(new ReceivedAttempt(instance, sent, exponential(random, MEAN_WORK_MILLIS)));
           } else {
             instance.finish(sent, AttemptOutcome.REJECTED);
           }
         }
       }
-      for (ArrayDeque<Work> queue : queues) {
-        for (Work work : queue) {
-          if (!work.givenUp && work.isOverdue()) {
-            work.givenUp = true;
-            work.instance.finish(work.sent, AttemptOutcome.TIMEOUT);
+      for (ArrayDeque<ReceivedAttempt> queue : queues) {
+        for (ReceivedAttempt attempt : queue) {
+          if (!attempt.timedOut && attempt.hasReachedTimeout()) {
+            attempt.timedOut = true;
+            attempt.instance.finish(attempt.sent, AttemptOutcome.TIMEOUT);
           }
         }
-        served += work(queue);
+        served += serve(queue);
       }
-      instances.forEach(instance -> instance.advance(STEP_MILLIS));
+      instances.forEach(instance -> instance.advance(TIME_STEP_MILLIS));
     }
-    return served * MEAN_WORK_MILLIS / (LENGTH_MILLIS * ENDPOINTS);
+    return served * MEAN_WORK_MILLIS / (RUN_MILLIS * ENDPOINTS);
   }
 
-  /** Lets an endpoint work on its queue for one step; returns how many attempts it served. */
-  private static int work(ArrayDeque<Work> queue) {
+  /** Simulates an endpoint for one time step; returns the number of attempts that it served. */
+  private static int serve(ArrayDeque<ReceivedAttempt> queue) {
     int served = 0;
-    double time = STEP_MILLIS;
-    while (time > 0 && !queue.isEmpty()) {
-      Work work = queue.peek();
-      double done = Math.min(time, work.left);
-      work.left -= done;
-      time -= done;
-      if (work.left <= 0) {
+    double remainingMillis = TIME_STEP_MILLIS;
+    while (remainingMillis > 0 && !queue.isEmpty()) {
+      ReceivedAttempt attempt = queue.peek();
+      double workedMillis = Math.min(remainingMillis, attempt.endOrRemainingMillis);
+      attempt.endOrRemainingMillis -= workedMillis;
+      remainingMillis -= workedMillis;
+      if (attempt.endOrRemainingMillis <= 0) {
         queue.poll();
-        if (!work.givenUp) {
-          work.instance.finish(work.sent, AttemptOutcome.OK);
+        if (!attempt.timedOut) {
+          attempt.instance.finish(attempt.sent, AttemptOutcome.OK);
           served++;
         }
       }
@@ -187,18 +201,20 @@
   void lateAttemptsWithoutOverloadCauseLittleShedding() {
     for (long seed = 1; seed <= SEEDS; seed++) {
       double served = servedShareWithoutOverload(seed);
-      // Without shedding it would be 0.83; with every late attempt taken for overload at most 0.2.
-      assertTrue(served > 0.3, served + " served at seed " + seed);
+      // Without shedding the share is 0.83; if every late attempt counted as overload, at most 0.2.
+      assertTrue(served > 0.3, served + " of the requests served in time with seed " + seed);
     }
   }
 
   @Test
   void overloadIsShedBeforeThroughputCollapses() {
-    for (double load : new double[] {1.2, 1.5, 3}) {
+    for (double loadFactor : new double[] {1.2, 1.5, 3}) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        double served = servedCapacityUnderOverload(seed, load);
-        // Without shedding it would be under 0.15.
-        assertTrue(served > 0.45, served + " served at " + load + " times the load, seed " + seed);
+        double served = servedCapacityUnderOverload(seed, loadFactor);
+        // Without shedding the share is under 0.15.
+        assertTrue(
+            served > 0.45,
+            served + " of the capacity served at load factor " + loadFactor + ", seed " + seed);
       }
     }
   }
--- a/src/test/java/loadbalancer/policy/PendingRequestsTest.java
+++ b/src/test/java/loadbalancer/policy/PendingRequestsTest.java
@@ -9,13 +9,13 @@
 import loadbalancer.model.EndpointUpdateType;
 import org.junit.jupiter.api.Test;
 
-/** Requests that wait for an endpoint. */
+/** Requests that are queued because no endpoint can be selected for them. */
 class PendingRequestsTest {
 
-  private static final double NOW = 100_000;
+  private static final double START_MILLIS = 100_000;
 
   @Test
-  void aRequestWithoutAReadyEndpointIsQueuedAndRejectedInTime() {
+  void aRequestWithoutAReadyEndpointIsQueuedAndRejectedBeforeItsDeadline() {
     PolicyHarness harness = new PolicyHarness(TestSettings.settings().build(), 1);
     harness.updateEndpoints(EndpointUpdateType.CACHED);
     harness.request(1, 0);
@@ -30,14 +30,14 @@
     harness.request(3, 0);
     harness.advance(5_000);
     assertEquals(List.of(3L), harness.rejected);
-    // A request without an attempt is rejected while its client can still retry.
+    // A request without an attempt is rejected early enough for its client to retry.
     harness.request(4, 0);
     harness.advance(TestSettings.DEADLINE_MILLIS * 0.48);
     assertEquals(List.of(3L, 4L), harness.rejected);
     assertTrue(
         harness.retryAfterMillis > 0
             && harness.retryAfterMillis <= TestSettings.OBJECTIVE_MILLIS / 2,
-        "after " + harness.retryAfterMillis);
+        "Retry-After advice of " + harness.retryAfterMillis + " ms");
   }
 
   @Test
@@ -59,34 +59,35 @@
   }
 
   @Test
-  void oneSelectionStandsForAllQueuedRequestsOfAClass() {
+  void queuedRequestsOfAClassShareOneSelectionPerInterval() {
     PolicyHarness harness = new PolicyHarness(TestSettings.settings().tier(1).build(), 4);
     harness.updateEndpoints(
         EndpointUpdateType.CACHED,
-        TestSettings.endpoint(1).startedAt(NOW),
-        TestSettings.endpoint(2).startedAt(NOW));
+        TestSettings.endpoint(1).startedAt(START_MILLIS),
+        TestSettings.endpoint(2).startedAt(START_MILLIS));
     int requests = 200;
-    double apart = 0.3;
-    double deadline = harness.now + 10_000;
+    double arrivalIntervalMillis = 0.3;
+    double deadlineMillis = harness.now + 10_000;
     for (int i = 0; i < requests; i++) {
-      harness.request(i, 0, deadline, 0);
-      harness.advance(apart);
+      harness.request(i, 0, deadlineMillis, 0);
+      harness.advance(arrivalIntervalMillis);
     }
     harness.advance(20);
     int queued = harness.open.size() - harness.sentAttempts.size();
     assertTrue(queued > requests / 2, queued + " queued");
-    // They arrived 0.3 ms apart: selections of their own would come every 0.3 ms.
+    // They arrived 0.3 ms apart, so with a timer each there would be a selection every 0.3 ms.
     long selections = harness.distinctTimerTimes(20);
     assertTrue(selections <= 2, selections + " selections within 20 ms");
-    // None waits for the selection of the class when its own time in the queue is over.
+    // A request does not wait for the next selection of its class beyond its own time in the queue.
     harness.request(requests, 0, harness.now + 35, 0);
     harness.advance(35 * 0.45 + 0.001);
-    assertFalse(harness.isOpen(requests), "queued for too long");
+    assertFalse(harness.isOpen(requests), "still queued after 45 % of the time to its deadline");
     harness.advance(20);
-    // Its grant may have let one of the others be sent; only it has got a final response.
+    // The warm-up budget granted on its arrival may have allowed one attempt of another request; no
+    // other request has a final response.
     assertEquals(List.of((long) requests), harness.rejected);
     assertEquals(List.of(), harness.failed);
-    assertEquals(requests, harness.open.size(), "still open");
+    assertEquals(requests, harness.open.size(), "requests without a final response");
     int stillQueued = harness.open.size() - harness.sentAttempts.size();
     assertTrue(
         stillQueued == queued || stillQueued == queued - 1,
--- a/src/test/java/loadbalancer/policy/RetryAndHedgingTest.java
+++ b/src/test/java/loadbalancer/policy/RetryAndHedgingTest.java
@@ -9,27 +9,27 @@
 import loadbalancer.model.Idempotency;
 import org.junit.jupiter.api.Test;
 
-/** Retries, hedges, their budget, and what ends an attempt. */
+/** Retries and hedged requests, their budget, and the timeout and cancellation of attempts. */
 class RetryAndHedgingTest {
 
   @Test
-  void aHedgeFollowsASlowAttemptAndTheLoserIsCancelled() {
+  void aSlowAttemptIsHedgedAndCancelledWhenTheHedgeIsServed() {
     PolicyHarness harness =
         new PolicyHarness(TestSettings.settings().parallelAttempts(true).build(), 1);
     harness.updateEndpoints(
         EndpointUpdateType.CACHED, TestSettings.endpoint(1), TestSettings.endpoint(2));
     harness.request(1, 0);
-    PolicyHarness.SentAttempt first = harness.lastAttempt();
+    PolicyHarness.SentAttempt slowAttempt = harness.lastAttempt();
     harness.advance(1_000);
     assertEquals(2, harness.sentAttempts.size());
     harness.finish(harness.lastAttempt(), AttemptOutcome.OK);
-    assertEquals(List.of(first), harness.cancelled);
-    harness.finish(first, AttemptOutcome.CANCELLED);
+    assertEquals(List.of(slowAttempt), harness.cancelled);
+    harness.finish(slowAttempt, AttemptOutcome.CANCELLED);
     assertEquals(2, harness.sentAttempts.size());
   }
 
   @Test
-  void retriesAreBoundedWhenEverythingFails() {
+  void retriesAreBoundedWhenAllAttemptsFail() {
     PolicyHarness harness = new PolicyHarness(TestSettings.settings().tier(1).build(), 1);
     harness.updateEndpoints(
         EndpointUpdateType.CACHED,
@@ -43,12 +43,12 @@
       }
       harness.advance(10);
     }
-    int sends = harness.sentAttempts.size();
-    assertTrue(sends > 1_050 && sends < 1_150, sends + " sends for 1000 requests");
+    int attempts = harness.sentAttempts.size();
+    assertTrue(attempts > 1_050 && attempts < 1_150, attempts + " attempts for 1000 requests");
   }
 
   @Test
-  void attemptsWithoutAConnectionTakeNoRetryToken() {
+  void retriesAfterFailedConnectsTakeNoToken() {
     PolicyHarness harness = new PolicyHarness(TestSettings.settings().build(), 1);
     harness.updateEndpoints(
         EndpointUpdateType.CACHED,
@@ -59,22 +59,23 @@
         TestSettings.endpoint(5));
     for (int i = 0; i < 40; i++) {
       harness.request(i, 0);
-      for (int failed = 0; failed < 2; failed++) {
-        int sends = harness.sentAttempts.size();
+      for (int failedConnects = 0; failedConnects < 2; failedConnects++) {
+        int sentBefore = harness.sentAttempts.size();
         harness.finish(harness.lastAttempt(), AttemptOutcome.CONNECT_FAILED);
-        assertEquals(sends + 1, harness.sentAttempts.size(), "request " + i + " got no retry");
+        assertEquals(
+            sentBefore + 1, harness.sentAttempts.size(), "request " + i + " was not retried");
       }
       harness.finish(harness.lastAttempt(), AttemptOutcome.OK);
       harness.advance(50);
     }
-    // The limit on the attempts of one request still holds.
-    int sends = harness.sentAttempts.size();
+    // The maximum number of attempts of a request still applies.
+    int sentBefore = harness.sentAttempts.size();
     harness.request(40, 0);
     for (int i = 0; i < 4; i++) {
-      assertEquals(sends + i + 1, harness.sentAttempts.size());
+      assertEquals(sentBefore + i + 1, harness.sentAttempts.size());
       harness.finish(harness.lastAttempt(), AttemptOutcome.CONNECT_FAILED);
     }
-    assertEquals(sends + 4, harness.sentAttempts.size());
+    assertEquals(sentBefore + 4, harness.sentAttempts.size());
     assertEquals(List.of(40L), harness.rejected);
   }
 
@@ -86,25 +87,26 @@
         TestSettings.endpoint(1),
         TestSettings.endpoint(2),
         TestSettings.endpoint(3));
-    int served = 0;
+    int servedRetries = 0;
     for (int i = 0; i < 500; i++) {
       harness.request(i, 0);
       for (int attempt = 0; harness.isOpen(i); attempt++) {
-        served += attempt;
+        servedRetries += attempt;
         harness.finish(
             harness.lastAttempt(), attempt == 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK);
       }
       harness.advance(10);
     }
-    assertEquals(500, served);
+    assertEquals(500, servedRetries);
   }
 
   @Test
-  void aStrayTimerSendsNoHedgeWhereParallelAttemptsAreForbidden() {
+  void anUnexpectedHedgeTimerSendsNothingIfParallelAttemptsAreNotAllowed() {
     PolicyHarness harness = new PolicyHarness(TestSettings.settings().build(), 1);
     harness.updateEndpoints(
         EndpointUpdateType.CACHED, TestSettings.endpoint(1), TestSettings.endpoint(2));
     harness.request(1, 0);
+    // The token of a hedge timer for attempt 0 of request 1.
     harness.fireTimer(1 << 8);
     assertEquals(1, harness.sentAttempts.size());
   }
@@ -122,30 +124,31 @@
         harness.finish(harness.lastAttempt(), AttemptOutcome.ERROR);
       }
     }
-    // Otherwise a hedge would follow after three times the first expected latency, 600 ms.
-    int sends = harness.sentAttempts.size();
-    for (int i = 60; harness.sentAttempts.size() == sends; i++) {
+    // Without overload a hedge would follow after three times the initial expected latency of 200
+    // ms.
+    int sentBefore = harness.sentAttempts.size();
+    for (int i = 60; harness.sentAttempts.size() == sentBefore; i++) {
       harness.request(i, 0);
     }
     harness.advance(900);
-    assertEquals(sends + 1, harness.sentAttempts.size());
+    assertEquals(sentBefore + 1, harness.sentAttempts.size());
   }
 
   @Test
-  void aResultThatComesAfterTheClientDisconnectedSendsNothing() {
+  void anAttemptThatEndsAfterTheClientDisconnectedIsNotRetried() {
     PolicyHarness harness = new PolicyHarness(TestSettings.settings().build(), 1);
     harness.updateEndpoints(
         EndpointUpdateType.CACHED, TestSettings.endpoint(1), TestSettings.endpoint(2));
     harness.request(1, 0);
-    PolicyHarness.SentAttempt sent = harness.lastAttempt();
+    PolicyHarness.SentAttempt attempt = harness.lastAttempt();
     harness.disconnectClient(1);
-    harness.finishBeforeClose(sent, AttemptOutcome.REJECTED);
+    harness.finishBeforeClose(attempt, AttemptOutcome.REJECTED);
     assertEquals(1, harness.sentAttempts.size());
     assertTrue(harness.rejected.isEmpty() && harness.failed.isEmpty());
   }
 
   @Test
-  void theTimeoutIsTheObjectiveWhereALateResponseHasNoValue() {
+  void theTimeoutIsTheLatencyObjectiveIfALateResponseHasNoValue() {
     PolicyHarness harness =
         new PolicyHarness(
             TestSettings.settings()
@@ -159,7 +162,7 @@
   }
 
   @Test
-  void aStartedStreamIsNeitherCancelledNorRetried() {
+  void aStreamedResponseThatHasBegunIsNeitherCancelledNorRetried() {
     PolicyHarness harness = new PolicyHarness(TestSettings.settings().streamed(true).build(), 1);
     harness.updateEndpoints(EndpointUpdateType.CACHED, TestSettings.endpoint(1));
     harness.request(1, 0);
--- a/src/test/java/loadbalancer/policy/RetryBudgetTest.java
+++ b/src/test/java/loadbalancer/policy/RetryBudgetTest.java
@@ -10,51 +10,52 @@
 /** The token bucket that bounds retries and hedged requests. */
 class RetryBudgetTest {
 
-  private final RetryBudget budget = new RetryBudget();
-  private final RetryPolicy policy = new RetryPolicy(budget);
-
-  private int spendAll() {
-    int spent = 0;
-    while (budget.hasToken()) {
-      budget.spend();
-      spent++;
+  private final RetryBudget retryBudget = new RetryBudget();
+  private final RetryPolicy retryPolicy = new RetryPolicy(retryBudget);
+
+  /** Returns the number of tokens spent. */
+  private int spendAllTokens() {
+    int spentTokens = 0;
+    while (retryBudget.hasToken()) {
+      retryBudget.spend();
+      spentTokens++;
     }
-    return spent;
+    return spentTokens;
   }
 
   @Test
   void holdsThreeTokensAtMost() {
     for (int i = 0; i < 1_000; i++) {
-      budget.requestArrived();
+      retryBudget.requestArrived();
     }
-    assertEquals(3, spendAll());
+    assertEquals(3, spendAllTokens());
   }
 
   @Test
-  void elevenRequestsEarnAToken() {
-    spendAll();
+  void elevenRequestsEarnOneToken() {
+    spendAllTokens();
     for (int i = 0; i < 9; i++) {
-      budget.requestArrived();
+      retryBudget.requestArrived();
     }
-    assertFalse(budget.hasToken());
-    budget.requestArrived();
-    budget.requestArrived();
-    assertTrue(budget.hasToken());
+    assertFalse(retryBudget.hasToken());
+    retryBudget.requestArrived();
+    retryBudget.requestArrived();
+    assertTrue(retryBudget.hasToken());
   }
 
   @Test
   void servedRetryGivesItsTokenBack() {
-    spendAll();
-    budget.retryOrHedgeServed();
-    assertTrue(budget.hasToken());
+    spendAllTokens();
+    retryBudget.retryOrHedgeServed();
+    assertTrue(retryBudget.hasToken());
   }
 
   @Test
-  void retryNeedsATokenUnlessTheAttemptHadNoConnection() {
-    assertTrue(policy.tryAcquireRetry(AttemptOutcome.TIMEOUT));
-    assertEquals(2, spendAll());
-    assertFalse(policy.tryAcquireRetry(AttemptOutcome.TIMEOUT));
-    assertTrue(policy.tryAcquireRetry(AttemptOutcome.CONNECT_FAILED));
-    assertFalse(policy.tryAcquireRetry(AttemptOutcome.NOT_SENT));
+  void retryNeedsATokenUnlessTheAttemptFailedToConnect() {
+    assertTrue(retryPolicy.tryAcquireRetry(AttemptOutcome.TIMEOUT));
+    assertEquals(2, spendAllTokens());
+    assertFalse(retryPolicy.tryAcquireRetry(AttemptOutcome.TIMEOUT));
+    assertTrue(retryPolicy.tryAcquireRetry(AttemptOutcome.CONNECT_FAILED));
+    assertFalse(retryPolicy.tryAcquireRetry(AttemptOutcome.NOT_SENT));
   }
 }
