--- a/src/test/java/loadbalancer/policy/EndpointEligibilityTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointEligibilityTest.java
@@ -12,7 +12,10 @@
 import loadbalancer.model.Idempotency;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoints a request may be sent to: state, placement, repeats without a second effect. */
+/**
+ * Tests which endpoints a request may be sent to, by their state, the placement of the request
+ * class, and where a request that may have run can be repeated without a second effect.
+ */
 class EndpointEligibilityTest {
 
   @Test
@@ -42,9 +45,11 @@
   }
 
   @Test
-  void aDeduplicatedRequestIsNotRetriedWhereItsWindowMayEndWhileConnecting() {
-    // The connect timeout is 100 ms.
-    for (int[] waitAndSends : new int[][] {{395, 2}, {400, 1}, {499, 1}}) {
+  void aDeduplicatedRequestIsNotRetriedIfItsWindowMayEndWhileConnecting() {
+    // The deduplication window is 500 ms and the connect timeout 100 ms, so that a retry is
+    // possible
+    // until just before 400 ms. Each case gives the time of the failure in ms and the attempts.
+    for (int[] failureAndAttempts : new int[][] {{395, 2}, {400, 1}, {499, 1}}) {
       PolicyHarness harness =
           new PolicyHarness(
               TestSettings.settings()
@@ -56,15 +61,17 @@
       harness.updateEndpoints(
           EndpointUpdateType.CACHED, TestSettings.endpoint(1), TestSettings.endpoint(2));
       harness.request(1, 0);
-      harness.advance(waitAndSends[0]);
+      harness.advance(failureAndAttempts[0]);
       harness.finish(harness.lastAttempt(), AttemptOutcome.RESET);
       assertEquals(
-          waitAndSends[1], harness.sentAttempts.size(), "after " + waitAndSends[0] + " ms");
+          failureAndAttempts[1],
+          harness.sentAttempts.size(),
+          "attempts after a failure at " + failureAndAttempts[0] + " ms");
     }
   }
 
   @Test
-  void aDeduplicatedRequestStaysInItsGroupAndWindow() {
+  void aDeduplicatedRequestIsRetriedOnlyInItsGroupAndWindow() {
     PolicyHarness harness =
         new PolicyHarness(
             TestSettings.settings()
@@ -89,10 +96,11 @@
         assertTrue(harness.lastAttempt().endpointId() < 3);
       }
       if (harness.isOpen(i)) {
-        int sent = harness.sentAttempts.size();
+        int attemptsInWindow = harness.sentAttempts.size();
         harness.advance(500);
         harness.finish(harness.lastAttempt(), AttemptOutcome.ERROR);
-        assertEquals(sent, harness.sentAttempts.size(), "sent after the window");
+        assertEquals(
+            attemptsInWindow, harness.sentAttempts.size(), "attempts after the end of the window");
         assertTrue(harness.failed.contains((long) i));
       }
       harness.advance(2_000);
--- a/src/test/java/loadbalancer/policy/EndpointSelectorTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointSelectorTest.java
@@ -11,14 +11,18 @@
 import loadbalancer.model.Idempotency;
 import org.junit.jupiter.api.Test;
 
-/** Weighted selection by cost: latency, failures, overdue attempts, zones, placement. */
+/**
+ * Tests the reasons that change the share of an endpoint in the weighted selection: latency,
+ * failures, overdue attempts, zones, machine types and placement.
+ */
 class EndpointSelectorTest {
 
-  private static final double NOW = 100_000;
+  /** The time at which a {@link PolicyHarness} starts. */
+  private static final double START_MILLIS = 100_000;
 
   @Test
   void selectionIsInverselyProportionalToCost() {
-    // One endpoint responds in half the time of the other: it is chosen twice as often.
+    // Endpoint 1 responds in half the time of endpoint 2, so it should get about twice as many.
     PolicyHarness harness = new PolicyHarness(TestSettings.settings().build(), 7);
     harness.updateEndpoints(
         EndpointUpdateType.CACHED, TestSettings.endpoint(1), TestSettings.endpoint(2));
@@ -27,15 +31,19 @@
       harness.advance(harness.lastAttempt().endpointId() == 1 ? 100 : 200);
       harness.finish(harness.lastAttempt(), AttemptOutcome.OK);
     }
-    Map<Long, Integer> drawn = new HashMap<>();
-    harness.sentAttempts.forEach(s -> drawn.merge(s.endpointId(), 1, Integer::sum));
-    // Both latencies are pooled with two samples of their mean: the ratio lies a little under 2.
-    double ratio = drawn.get(1L) / (double) drawn.get(2L);
-    assertTrue(ratio > 1.6 && ratio < 2.15, "ratio " + ratio);
+    Map<Long, Integer> attemptsByEndpoint = new HashMap<>();
+    harness.sentAttempts.forEach(
+        sent -> attemptsByEndpoint.merge(sent.endpointId(), 1, Integer::sum));
+    // The mean latency of each endpoint includes two samples of the mean over both endpoints, which
+    // makes the ratio a little less than 2.
+    double attemptRatio = attemptsByEndpoint.get(1L) / (double) attemptsByEndpoint.get(2L);
+    assertTrue(
+        attemptRatio > 1.6 && attemptRatio < 2.15,
+        "ratio of attempts at the faster and the slower endpoint: " + attemptRatio);
   }
 
   @Test
-  void failuresReduceAnEndpointsShareWithoutEndingIt() {
+  void aFailingEndpointGetsFewAttemptsButNotNone() {
     PolicyHarness harness = new PolicyHarness(TestSettings.settings().tier(1).build(), 3);
     harness.updateEndpoints(
         EndpointUpdateType.CACHED, TestSettings.endpoint(1), TestSettings.endpoint(2));
@@ -49,11 +57,12 @@
         harness.finish(sent, sent.endpointId() == 1 ? AttemptOutcome.ERROR : AttemptOutcome.OK);
       }
     }
-    assertTrue(toFailing > 5 && toFailing < 300, "sent to the failing endpoint: " + toFailing);
+    assertTrue(
+        toFailing > 5 && toFailing < 300, "attempts sent to the failing endpoint: " + toFailing);
   }
 
   @Test
-  void aHungEndpointLosesItsShareBeforeItsAttemptsTimeOut() {
+  void aHungEndpointIsAvoidedBeforeItsAttemptsTimeOut() {
     PolicyHarness harness =
         new PolicyHarness(TestSettings.settings().idempotency(Idempotency.AT_MOST_ONCE).build(), 5);
     harness.updateEndpoints(
@@ -61,18 +70,19 @@
         TestSettings.endpoint(1),
         TestSettings.endpoint(2),
         TestSettings.endpoint(3));
-    int hung = 0;
+    int toHung = 0;
     for (int i = 0; i < 600; i++) {
       harness.request(i, 0);
       harness.advance(10);
       PolicyHarness.SentAttempt sent = harness.lastAttempt();
+      // Endpoint 1 stops responding after half of the requests.
       if (sent.endpointId() != 1 || i < 300) {
         harness.finish(sent, AttemptOutcome.OK);
       } else {
-        hung++;
+        toHung++;
       }
     }
-    assertTrue(hung > 0 && hung < 30, "sent to the hung endpoint: " + hung);
+    assertTrue(toHung > 0 && toHung < 30, "attempts sent to the hung endpoint: " + toHung);
   }
 
   @Test
@@ -83,17 +93,18 @@
     harness.updateEndpoints(
         EndpointUpdateType.CACHED, TestSettings.endpoint(1), TestSettings.endpoint(2));
     harness.request(0, 0);
-    long hung = harness.lastAttempt().endpointId();
+    long hungEndpoint = harness.lastAttempt().endpointId();
     harness.advance(1_500);
     int toHung = 0;
     for (int i = 1; i <= 200; i++) {
       harness.request(i, 0);
-      toHung += harness.lastAttempt().endpointId() == hung ? 1 : 0;
+      toHung += harness.lastAttempt().endpointId() == hungEndpoint ? 1 : 0;
       harness.finishAfter(harness.lastAttempt(), AttemptOutcome.OK, 100);
     }
-    assertTrue(toHung < 20, "sent to the endpoint with the overdue attempt: " + toHung);
+    assertTrue(toHung < 20, "attempts sent to the endpoint with the overdue attempt: " + toHung);
   }
 
+  /** A latency of 0 would make the cost 0 and the weight infinite. */
   @Test
   void responsesInZeroTimeDoNotBreakTheSelection() {
     PolicyHarness harness = new PolicyHarness(TestSettings.settings().build(), 1);
@@ -107,32 +118,33 @@
   }
 
   @Test
-  void aRestartClearsTheEvidence() {
+  void aRestartClearsTheStatisticsOfAnEndpoint() {
     PolicyHarness harness = new PolicyHarness(TestSettings.settings().tier(1).build(), 4);
     harness.updateEndpoints(
         EndpointUpdateType.CACHED, TestSettings.endpoint(1), TestSettings.endpoint(2));
-    int toFirst = 0;
+    int toRestarted = 0;
     for (int i = 0; i < 1_000; i++) {
       if (i == 500) {
-        toFirst = 0;
+        // Endpoint 1 has failed so far. It restarts, is almost warm, and serves from now on.
+        toRestarted = 0;
         harness.updateEndpoints(
-            EndpointUpdateType.DELTA, TestSettings.endpoint(1).startedAt(NOW - 9_500));
+            EndpointUpdateType.DELTA, TestSettings.endpoint(1).startedAt(START_MILLIS - 9_500));
       }
       harness.request(i, 0);
       while (harness.isOpen(i)) {
-        boolean first = harness.lastAttempt().endpointId() == 1;
-        toFirst += first ? 1 : 0;
+        boolean atRestarted = harness.lastAttempt().endpointId() == 1;
+        toRestarted += atRestarted ? 1 : 0;
         harness.finishAfter(
             harness.lastAttempt(),
-            first && i < 500 ? AttemptOutcome.ERROR : AttemptOutcome.OK,
+            atRestarted && i < 500 ? AttemptOutcome.ERROR : AttemptOutcome.OK,
             100);
       }
     }
-    assertTrue(toFirst > 80, "sent after the restart: " + toFirst);
+    assertTrue(toRestarted > 80, "attempts sent to it after the restart: " + toRestarted);
   }
 
   @Test
-  void aFaultyEndpointInTheOwnZoneIsLeftDespiteTheCrossZonePenalty() {
+  void aFaultyEndpointInTheOwnZoneIsAvoidedDespiteTheCrossZonePenalty() {
     PolicyHarness harness =
         new PolicyHarness(
             TestSettings.settings()
@@ -146,21 +158,25 @@
         TestSettings.endpoint(1),
         TestSettings.endpoint(2).zone(1),
         TestSettings.endpoint(3).zone(1));
-    long faulty = 0;
+    long toFaulty = 0;
     for (int i = 0; i < 1_000; i++) {
       harness.request(i, 0);
-      boolean home = harness.lastAttempt().endpointId() == 1;
-      faulty += home ? 1 : 0;
+      boolean inOwnZone = harness.lastAttempt().endpointId() == 1;
+      toFaulty += inOwnZone ? 1 : 0;
       harness.finishAfter(
           harness.lastAttempt(),
-          home && i % 10 < 7 ? AttemptOutcome.ERROR : AttemptOutcome.OK,
+          inOwnZone && i % 10 < 7 ? AttemptOutcome.ERROR : AttemptOutcome.OK,
           100);
-      // Evidence decays with time: an endpoint without attempts is tried again later.
+      // Statistics decay over this time, so that an endpoint that is avoided is tried again.
       harness.advance(40);
     }
-    assertTrue(faulty > 5 && faulty < 250, faulty + " sent to the faulty endpoint");
+    assertTrue(toFaulty > 5 && toFaulty < 250, toFaulty + " attempts sent to the faulty endpoint");
   }
 
+  /**
+   * An endpoint that fails within a few milliseconds has no attempts in flight. It must not attract
+   * requests by looking less loaded than the endpoints that serve.
+   */
   @Test
   void anEndpointThatFailsAtOnceDoesNotLookIdle() {
     PolicyHarness harness =
@@ -176,23 +192,23 @@
         TestSettings.endpoint(1),
         TestSettings.endpoint(2).zone(1),
         TestSettings.endpoint(3).zone(1));
-    ArrayDeque<PolicyHarness.SentAttempt> out = new ArrayDeque<>();
-    int lost = 0;
+    ArrayDeque<PolicyHarness.SentAttempt> inFlight = new ArrayDeque<>();
+    int failedAttempts = 0;
     for (int i = 0; i < 1_000; i++) {
       harness.request(i, 0);
       if (harness.lastAttempt().endpointId() == 1 && i % 10 < 7) {
-        lost++;
+        failedAttempts++;
         harness.finishAfter(harness.lastAttempt(), AttemptOutcome.ERROR, 5);
       } else {
-        out.addLast(harness.lastAttempt());
+        inFlight.addLast(harness.lastAttempt());
       }
-      // What is served takes 300 ms, so that some attempts are always in flight elsewhere.
+      // A served attempt takes 300 ms, so that the other endpoints always have some in flight.
       harness.advance(30);
-      if (out.size() > 10) {
-        harness.finishAfter(out.pollFirst(), AttemptOutcome.OK, 300);
+      if (inFlight.size() > 10) {
+        harness.finishAfter(inFlight.pollFirst(), AttemptOutcome.OK, 300);
       }
     }
-    assertTrue(lost < 150, lost + " lost at the faulty endpoint");
+    assertTrue(failedAttempts < 150, failedAttempts + " attempts failed at the faulty endpoint");
   }
 
   @Test
@@ -205,12 +221,12 @@
       harness.request(i, 0);
       harness.finishAfter(harness.lastAttempt(), AttemptOutcome.OK, 100);
     }
-    long crossZone = harness.sentAttempts.stream().filter(s -> s.endpointId() == 2).count();
-    assertTrue(crossZone > 0 && crossZone < 100, crossZone + " in the other zone");
+    long crossZone = harness.sentAttempts.stream().filter(sent -> sent.endpointId() == 2).count();
+    assertTrue(crossZone > 0 && crossZone < 100, crossZone + " attempts sent to the other zone");
   }
 
   @Test
-  void anEndpointThatFailsOneClassKeepsTheOther() {
+  void anEndpointThatFailsOneRequestClassStillGetsTheOther() {
     PolicyHarness harness = new PolicyHarness(TestSettings.settings().tier(1).build(), 3);
     harness.updateEndpoints(
         EndpointUpdateType.CACHED,
@@ -218,26 +234,28 @@
         TestSettings.endpoint(2),
         TestSettings.endpoint(3),
         TestSettings.endpoint(4));
-    int[] toFailing = new int[2];
+    int[] toFailingByClass = new int[2];
     for (int i = 0; i < 2_000; i++) {
       harness.request(i, i % 2);
       harness.advance(20);
       while (harness.isOpen(i)) {
         PolicyHarness.SentAttempt sent = harness.lastAttempt();
-        toFailing[i % 2] += sent.endpointId() == 1 ? 1 : 0;
+        toFailingByClass[i % 2] += sent.endpointId() == 1 ? 1 : 0;
         harness.finishAfter(
             sent,
             sent.endpointId() == 1 && i % 2 == 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK,
             100);
       }
     }
-    // A quarter would be 250 of each.
-    assertTrue(toFailing[0] < 60, "of the failing class: " + toFailing[0]);
-    assertTrue(toFailing[1] > 150, "of the other: " + toFailing[1]);
+    // An even distribution over the four endpoints would give it 250 requests of each class.
+    assertTrue(
+        toFailingByClass[0] < 60, "attempts of the class that it fails: " + toFailingByClass[0]);
+    assertTrue(
+        toFailingByClass[1] > 150, "attempts of the class that it serves: " + toFailingByClass[1]);
   }
 
   @Test
-  void aFailingMachineTypeIsAvoidedAtUntriedEndpointsToo() {
+  void untriedEndpointsOfAFailingMachineTypeAreAvoided() {
     PolicyHarness harness =
         new PolicyHarness(
             TestSettings.settings().tier(1).idempotency(Idempotency.AT_MOST_ONCE).build(), 3);
@@ -253,14 +271,14 @@
       toFailing += failing && i >= 20 ? 1 : 0;
       harness.finishAfter(
           harness.lastAttempt(), failing ? AttemptOutcome.ERROR : AttemptOutcome.OK, 100);
-      // So rarely that an endpoint's own evidence has decayed when it is chosen again.
+      // Long enough for the statistics of an endpoint to decay before it is selected again.
       harness.advance(20_000);
     }
-    assertTrue(toFailing < 10, "of 40 attempts to the failing type: " + toFailing);
+    assertTrue(toFailing < 10, "of 40 attempts, sent to the failing machine type: " + toFailing);
   }
 
   @Test
-  void unrestrictedRequestsMakeRoomForARestrictedClass() {
+  void unrestrictedRequestsAvoidTheEndpointOfARestrictedClass() {
     PolicyHarness harness =
         new PolicyHarness(
             TestSettings.settings().allowedMachineTypes(1).lateResponseValue(0).build(), 1);
@@ -268,16 +286,22 @@
         EndpointUpdateType.CACHED,
         TestSettings.endpoint(1),
         TestSettings.endpoint(2).machineType(1));
-    int[] free = new int[3];
+    // Unrestricted attempts after the first 200 requests, by endpoint ID; the rest at index 0.
+    int[] unrestricted = new int[3];
     for (int i = 0; i < 600; i++) {
       harness.request(i, i % 2);
       harness.advance(20);
       if (harness.isOpen(i)) {
-        free[i % 2 == 1 && i > 200 ? (int) harness.lastAttempt().endpointId() : 0]++;
-        // Both endpoints are equally fast for this class: latency alone would share it evenly.
+        unrestricted[i % 2 == 1 && i > 200 ? (int) harness.lastAttempt().endpointId() : 0]++;
+        // Attempts of the restricted class are late, which raises its overload level. For the other
+        // class both endpoints are equally fast, so that latency alone would distribute it evenly.
         harness.finishAfter(harness.lastAttempt(), AttemptOutcome.OK, i % 2 == 0 ? 900 : 100);
       }
     }
-    assertTrue(free[2] > 0 && free[2] < free[1] / 5, free[1] + " and " + free[2]);
+    assertTrue(
+        unrestricted[2] > 0 && unrestricted[2] < unrestricted[1] / 5,
+        unrestricted[1]
+            + " unrestricted attempts at endpoint 1; at that of the restricted class: "
+            + unrestricted[2]);
   }
 }
--- a/src/test/java/loadbalancer/policy/EndpointSubsetTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointSubsetTest.java
@@ -9,14 +9,15 @@
 import loadbalancer.model.EndpointUpdateType;
 import org.junit.jupiter.api.Test;
 
-/** Deterministic subsetting, and when the subset is left. */
+/** Tests that instances prefer balanced subsets, and when they use endpoints outside. */
 class EndpointSubsetTest {
 
+  /** With 48 endpoints and a target size of 8, each subset has 8 endpoints. */
   @Test
   void withLittleEvidenceMostAttemptsGoToABalancedSubset() {
     int instances = 40;
-    int[] drawn = new int[49];
-    int inEight = 0;
+    int[] attemptsByEndpoint = new int[49];
+    int toEightMostUsed = 0;
     for (int instance = 0; instance < instances; instance++) {
       PolicyHarness harness =
           new PolicyHarness(
@@ -31,43 +32,50 @@
         list[i] = TestSettings.endpoint(i + 1).machineType(i % 2);
       }
       harness.updateEndpoints(EndpointUpdateType.CACHED, list);
-      int[] own = new int[49];
+      int[] attemptsOfInstance = new int[49];
       for (int i = 0; i < 100; i++) {
         harness.request(i, 0);
-        own[(int) harness.lastAttempt().endpointId()]++;
-        drawn[(int) harness.lastAttempt().endpointId()]++;
+        attemptsOfInstance[(int) harness.lastAttempt().endpointId()]++;
+        attemptsByEndpoint[(int) harness.lastAttempt().endpointId()]++;
         harness.finishAfter(harness.lastAttempt(), AttemptOutcome.OK, 200);
         harness.advance(1_000);
       }
-      inEight += Arrays.stream(own).sorted().skip(41).sum();
+      toEightMostUsed += Arrays.stream(attemptsOfInstance).sorted().skip(41).sum();
     }
-    assertTrue(inEight > 0.8 * 4_000, inEight + " of 4000 in the eight most used of each");
-    // 83 each on average.
-    int most = Arrays.stream(drawn).max().orElseThrow();
-    int least = Arrays.stream(drawn).skip(1).min().orElseThrow();
-    assertTrue(most < 150 && least > 40, "from " + least + " to " + most);
+    assertTrue(
+        toEightMostUsed > 0.8 * 4_000,
+        toEightMostUsed + " of 4000 attempts went to the 8 most used endpoints of each instance");
+    // The average is 83 attempts per endpoint.
+    int mostUsed = Arrays.stream(attemptsByEndpoint).max().orElseThrow();
+    int leastUsed = Arrays.stream(attemptsByEndpoint).skip(1).min().orElseThrow();
+    assertTrue(
+        mostUsed < 150 && leastUsed > 40,
+        "attempts per endpoint: from " + leastUsed + " to " + mostUsed);
   }
 
   @Test
-  void withMuchEvidenceTheSubsetHardlyMatters() {
+  void withMuchEvidenceTheSubsetIsHardlyPreferred() {
     PolicyHarness harness = new PolicyHarness(TestSettings.settings().tier(1).build(), 1);
     TestSettings.EndpointBuilder[] list = new TestSettings.EndpointBuilder[48];
     for (int i = 0; i < list.length; i++) {
       list[i] = TestSettings.endpoint(i + 1);
     }
     harness.updateEndpoints(EndpointUpdateType.CACHED, list);
-    int[] drawn = new int[49];
+    int[] attemptsByEndpoint = new int[49];
     for (int i = 0; i < 8_000; i++) {
       harness.request(i, 0);
-      drawn[(int) harness.lastAttempt().endpointId()] += i < 4_000 ? 0 : 1;
+      // The first half only collects evidence.
+      attemptsByEndpoint[(int) harness.lastAttempt().endpointId()] += i < 4_000 ? 0 : 1;
       harness.finishAfter(harness.lastAttempt(), AttemptOutcome.OK, 200);
     }
-    int inEight = Arrays.stream(drawn).sorted().skip(41).sum();
-    assertTrue(inEight < 1_200, inEight + " of 4000 in the eight most used");
+    int toEightMostUsed = Arrays.stream(attemptsByEndpoint).sorted().skip(41).sum();
+    assertTrue(
+        toEightMostUsed < 1_200,
+        toEightMostUsed + " of 4000 attempts went to the 8 most used endpoints");
   }
 
   @Test
-  void aSubsetOfFailingEndpointsIsLeft() {
+  void requestsLeaveASubsetWhoseEndpointsFail() {
     PolicyHarness harness = new PolicyHarness(TestSettings.settings().tier(1).build(), 1);
     TestSettings.EndpointBuilder[] list = new TestSettings.EndpointBuilder[48];
     for (int i = 0; i < list.length; i++) {
@@ -75,20 +83,22 @@
     }
     harness.updateEndpoints(EndpointUpdateType.CACHED, list);
     Set<Long> failing = new HashSet<>();
-    int served = 0;
+    int servedInSecondHalf = 0;
     for (int i = 0; i < 400; i++) {
       harness.request(i, 0);
+      // The first eight endpoints that are used, most of them in the subset, fail from then on.
       if (failing.size() < 8) {
         failing.add(harness.lastAttempt().endpointId());
       }
       while (harness.isOpen(i)) {
         boolean fails = failing.contains(harness.lastAttempt().endpointId());
-        served += fails || i < 200 ? 0 : 1;
+        servedInSecondHalf += fails || i < 200 ? 0 : 1;
         harness.finishAfter(
             harness.lastAttempt(), fails ? AttemptOutcome.ERROR : AttemptOutcome.OK, 200);
       }
       harness.advance(100);
     }
-    assertTrue(served > 150, served + " of 200 served");
+    assertTrue(
+        servedInSecondHalf > 150, servedInSecondHalf + " of the last 200 requests were served");
   }
 }
