--- a/src/main/java/loadbalancer/policy/Attempt.java
+++ b/src/main/java/loadbalancer/policy/Attempt.java
@@ -2,7 +2,7 @@
 
 import loadbalancer.model.AttemptOutcome;
 
-/** One attempt of a request, and what has happened to it so far. */
+/** One attempt of a request and its state. */
 final class Attempt {
 
   private final InFlightRequest request;
@@ -21,12 +21,12 @@
   Attempt(
       InFlightRequest request,
       EndpointStatistics endpoint,
-      double sentAt,
+      double sentAtMillis,
       double rejectedShareAtSend) {
     this.request = request;
     this.endpoint = endpoint;
     this.number = request.attempts().size();
-    this.sentAtMillis = sentAt;
+    this.sentAtMillis = sentAtMillis;
     this.concurrencyAtSend = endpoint.inFlightCount();
     this.rejectedShareAtSend = rejectedShareAtSend;
   }
@@ -39,7 +39,7 @@
     return endpoint;
   }
 
-  /** Its number among the attempts of the request, from 0. */
+  /** The number of this attempt among those of its request, from 0. */
   int number() {
     return number;
   }
@@ -48,12 +48,15 @@
     return sentAtMillis;
   }
 
-  /** This instance's attempts in flight at the endpoint when it was sent. */
+  /** This instance's other attempts in flight at the endpoint when this one was sent. */
   int concurrencyAtSend() {
     return concurrencyAtSend;
   }
 
-  /** Share of the arriving work, 0 to 1, that was rejected when it was sent. */
+  /**
+   * Share, 0 to 1, of the arriving work of its placement group that was rejected when this attempt
+   * was sent.
+   */
   double rejectedShareAtSend() {
     return rejectedShareAtSend;
   }
@@ -66,12 +69,12 @@
     return streaming;
   }
 
-  /** Whether it has counted as a sign of overload while it was running. */
+  /** Whether this attempt was counted as a late call while it was running. */
   boolean isReportedLate() {
     return reportedLate;
   }
 
-  /** Whether the endpoint may have acted on it, or still may. */
+  /** Whether the endpoint may have processed this attempt, or may still do so. */
   boolean mayHaveRun() {
     return outcome == null || !outcome.neverRan();
   }
--- a/src/main/java/loadbalancer/policy/AttemptEvidence.java
+++ b/src/main/java/loadbalancer/policy/AttemptEvidence.java
@@ -4,47 +4,52 @@
 import loadbalancer.model.AttemptResult;
 
 /**
- * Turns outcomes and latencies of attempts into the evidence behind {@link EndpointCost}: served
- * attempts raise the success rate of their endpoint, all failures lower it.
+ * Records the outcomes and latencies of attempts in the statistics that {@link EndpointCost} uses.
+ * A served attempt raises the success rate of its endpoint; any failure lowers it.
  */
 final class AttemptEvidence {
 
-  /** Latencies below this are not told apart: keeps every cost above zero. */
+  /** Lower bound of a recorded latency; it keeps the cost of every endpoint above 0. */
   private static final double MIN_LATENCY_MILLIS = 0.01;
 
   private AttemptEvidence() {}
 
-  /** Records the end of an attempt, unless it tells nothing of its endpoint. */
+  /**
+   * Records the outcome of a finished attempt, and its latency if it was served. Ignores attempts
+   * that were not sent or were cancelled before they were slow: they do not show how well the
+   * endpoint serves.
+   */
   static void recordOutcome(Attempt attempt, AttemptResult result, double now) {
     AttemptOutcome outcome = result.outcome();
-    // A cancelled hedge counts like a timeout, but only if it was slow.
+    // An attempt is cancelled when another one has been served or the client has disconnected. It
+    // counts like a timeout if it was slow by then.
     boolean cancelledEarly =
         outcome == AttemptOutcome.CANCELLED
             && result.elapsedMillis() <= HedgingPolicy.slowAfterMillis(attempt.request());
     if (outcome == AttemptOutcome.NOT_SENT || cancelledEarly) {
       return;
     }
-    RequestClassStatistics type = attempt.request().statistics();
+    RequestClassStatistics classStatistics = attempt.request().statistics();
     attempt.endpoint().decay(now);
-    attempt.endpoint().recordOutcome(type.index(), outcome == AttemptOutcome.OK);
+    attempt.endpoint().recordOutcome(classStatistics.index(), outcome == AttemptOutcome.OK);
     if (outcome == AttemptOutcome.OK) {
       if (!attempt.isStreaming()) {
         recordLatency(attempt, result.elapsedMillis());
       }
     } else if (outcome == AttemptOutcome.CANCELLED || outcome == AttemptOutcome.TIMEOUT) {
-      HedgingPolicy.recordUnfinished(type);
+      HedgingPolicy.recordUnfinished(classStatistics);
     }
   }
 
-  /** Records the time to the response, or to the start of a streamed one. */
+  /** Records the time from the send to the response, or to the start of a streamed response. */
   static void recordLatency(Attempt attempt, double elapsedMillis) {
-    RequestClassStatistics type = attempt.request().statistics();
+    RequestClassStatistics classStatistics = attempt.request().statistics();
     EndpointStatistics endpoint = attempt.endpoint();
-    double atMeanCost =
+    double latencyAtMeanCost =
         Math.max(MIN_LATENCY_MILLIS, elapsedMillis) / attempt.request().latencyFactor();
-    double relative = atMeanCost / type.latencyMillis();
-    HedgingPolicy.recordLatencyRatio(type, relative);
-    type.recordLatency(atMeanCost / endpoint.relativeLatency());
-    endpoint.recordLatency(relative, attempt.concurrencyAtSend());
+    double relativeLatency = latencyAtMeanCost / classStatistics.latencyMillis();
+    HedgingPolicy.recordLatencyRatio(classStatistics, relativeLatency);
+    classStatistics.recordLatency(latencyAtMeanCost / endpoint.relativeLatency());
+    endpoint.recordLatency(relativeLatency, attempt.concurrencyAtSend());
   }
 }
--- a/src/main/java/loadbalancer/policy/EndpointCost.java
+++ b/src/main/java/loadbalancer/policy/EndpointCost.java
@@ -29,7 +29,7 @@
   /**
    * Relative cost increase for an endpoint in another zone is this times the square root of {@link
    * loadbalancer.model.CostSettings#crossZoneCost()}. It is finite, so that endpoints in other
-   * zones are still selected now and then.
+   * zones are still selected occasionally.
    */
   private static final double CROSS_ZONE_PENALTY_FACTOR = 400;
 
--- a/src/main/java/loadbalancer/policy/PlacementGroup.java
+++ b/src/main/java/loadbalancer/policy/PlacementGroup.java
@@ -5,28 +5,36 @@
 import loadbalancer.model.Endpoint;
 import loadbalancer.model.RequestClass;
 
-/** The request classes that may go to the same endpoints; they share one overload level. */
+/**
+ * The request classes with the same placement: they may be sent to the same endpoints and therefore
+ * share one overload level.
+ */
 final class PlacementGroup {
 
-  private final RequestClass placement;
+  /** One class of the group; only its placement is used. */
+  private final RequestClass representative;
+
   private final RequestClassStatistics[] classes;
   private final OverloadDetector overload;
 
-  private PlacementGroup(RequestClass placement, RequestClassStatistics[] allClasses) {
-    this.placement = placement;
+  private PlacementGroup(RequestClass representative, RequestClassStatistics[] allClasses) {
+    this.representative = representative;
     this.classes =
         Arrays.stream(allClasses)
-            .filter(other -> samePlacement(placement, other.requestClass()))
+            .filter(other -> samePlacement(representative, other.requestClass()))
             .toArray(RequestClassStatistics[]::new);
-    this.overload = new OverloadDetector(placement);
+    this.overload = new OverloadDetector(representative);
   }
 
-  /** Puts each class into the group of its placement; the groups follow their first classes. */
+  /**
+   * Creates a group for each distinct placement and assigns each class to its group. The groups are
+   * in the order of their first classes.
+   */
   static PlacementGroup[] group(RequestClassStatistics[] allClasses) {
     PlacementGroup[] groups =
         Arrays.stream(allClasses)
-            .filter(type -> firstOfPlacement(type, allClasses) == type)
-            .map(type -> new PlacementGroup(type.requestClass(), allClasses))
+            .filter(candidate -> firstWithSamePlacement(candidate, allClasses) == candidate)
+            .map(first -> new PlacementGroup(first.requestClass(), allClasses))
             .toArray(PlacementGroup[]::new);
     for (PlacementGroup group : groups) {
       for (RequestClassStatistics member : group.classes) {
@@ -36,12 +44,12 @@
     return groups;
   }
 
-  private static RequestClassStatistics firstOfPlacement(
-      RequestClassStatistics type, RequestClassStatistics[] allClasses) {
+  private static RequestClassStatistics firstWithSamePlacement(
+      RequestClassStatistics classStatistics, RequestClassStatistics[] allClasses) {
     return Arrays.stream(allClasses)
-        .filter(other -> samePlacement(type.requestClass(), other.requestClass()))
+        .filter(other -> samePlacement(classStatistics.requestClass(), other.requestClass()))
         .findFirst()
-        .orElse(type);
+        .orElse(classStatistics);
   }
 
   private static boolean samePlacement(RequestClass one, RequestClass other) {
@@ -57,12 +65,12 @@
     return overload;
   }
 
-  /** Whether its classes may go to some endpoints only. */
+  /** Whether the placement excludes any zone or machine type. */
   boolean isRestricted() {
-    return placement.allowedZones() != null || placement.allowedMachineTypes() != null;
+    return representative.allowedZones() != null || representative.allowedMachineTypes() != null;
   }
 
   boolean allows(Endpoint endpoint) {
-    return placement.allows(endpoint);
+    return representative.allows(endpoint);
   }
 }
--- a/src/main/java/loadbalancer/policy/QueueingLimit.java
+++ b/src/main/java/loadbalancer/policy/QueueingLimit.java
@@ -1,16 +1,21 @@
 package loadbalancer.policy;
 
 /**
- * The queueing delay above which a request is not sent to an endpoint: otherwise, when endpoints
- * leave, the rest would get all requests and work on responses that come too late.
+ * The estimated queueing delay above which a request is not sent to an endpoint. Without this
+ * limit, after a loss of endpoints, the others would get all requests and spend their capacity on
+ * responses that come too late.
  *
- * <p>Only in the tier that clients reach: further down, a rejection would waste the work already
- * done above.
+ * <p>It applies only in the tier that clients send to. In a lower tier, a rejection would waste the
+ * work that the tiers above have already done for the request.
  */
 final class QueueingLimit {
 
-  /** Share of its remaining time for a request of no value; the most valuable may use all. */
-  private static final double MIN_TIME_SHARE = 0.5;
+  /**
+   * Share of its remaining time that a request may spend in a queue if its class has no value. The
+   * limit rises linearly with the value per work, up to all of the time for the most valuable
+   * class.
+   */
+  private static final double MIN_REMAINING_TIME_SHARE = 0.5;
 
   private final int tier;
   private final RequestClassStatistics[] classes;
@@ -22,17 +27,20 @@
     this.value = value;
   }
 
-  /** The longest delay for a request: part of its remaining time, by its value per work. */
+  /**
+   * The longest queueing delay, in milliseconds, at which the request may be sent: a share of the
+   * time left in which its response is useful. Unlimited in the lower tiers.
+   */
   double maxDelayMillis(InFlightRequest request, double now) {
     if (tier > AdmissionController.CLIENT_TIER) {
       return Double.MAX_VALUE;
     }
-    double highest = 0;
-    for (RequestClassStatistics type : classes) {
-      highest = Math.max(highest, value.valuePerWork(type));
+    double maxValuePerWork = 0;
+    for (RequestClassStatistics classStatistics : classes) {
+      maxValuePerWork = Math.max(maxValuePerWork, value.valuePerWork(classStatistics));
     }
-    double relativeValue = value.valuePerWork(request.statistics()) / highest;
-    return (MIN_TIME_SHARE + (1 - MIN_TIME_SHARE) * relativeValue)
+    double relativeValue = value.valuePerWork(request.statistics()) / maxValuePerWork;
+    return (MIN_REMAINING_TIME_SHARE + (1 - MIN_REMAINING_TIME_SHARE) * relativeValue)
         * (request.usefulUntilMillis() - now);
   }
 }
--- a/src/main/java/loadbalancer/policy/RequestClassStatistics.java
+++ b/src/main/java/loadbalancer/policy/RequestClassStatistics.java
@@ -2,19 +2,24 @@
 
 import loadbalancer.model.RequestClass;
 
-/** Evidence about a request class over all endpoints; no decisions. */
+/**
+ * What this instance knows of one request class over all endpoints: latency, cost, shares of
+ * traffic and of client retries, and the current results of the rules for the class. Makes no
+ * decisions.
+ */
 final class RequestClassStatistics {
 
-  /** Gain of the averages over all endpoints. */
+  /** Minimum gain of the moving averages over all endpoints; also the gain of the traffic share. */
   static final double MIN_AVERAGE_GAIN = 0.02;
 
-  /** Expected latency before any was seen, as a share of the latency objective. */
-  private static final double FIRST_LATENCY_OBJECTIVE_SHARE = 0.2;
+  /** Initial value of the expected latency, as a share of the latency objective. */
+  private static final double INITIAL_LATENCY_OBJECTIVE_SHARE = 0.2;
 
   private final int index;
   private final RequestClass requestClass;
-  private final ExponentialMovingAverage latency;
-  private final ExponentialMovingAverage cost = new ExponentialMovingAverage(0, MIN_AVERAGE_GAIN);
+  private final ExponentialMovingAverage latencyMillis;
+  private final ExponentialMovingAverage costMillis =
+      new ExponentialMovingAverage(0, MIN_AVERAGE_GAIN);
   private final ExponentialMovingAverage clientRetryShare =
       new ExponentialMovingAverage(0, MIN_AVERAGE_GAIN);
   private PlacementGroup placementGroup;
@@ -23,12 +28,13 @@
   private double nextSelectionAtMillis = Double.NEGATIVE_INFINITY;
   private double slowRatio = HedgingPolicy.FIRST_SLOW_RATIO;
 
-  RequestClassStatistics(int index, RequestClass type) {
+  RequestClassStatistics(int index, RequestClass requestClass) {
     this.index = index;
-    this.requestClass = type;
-    latency =
+    this.requestClass = requestClass;
+    latencyMillis =
         new ExponentialMovingAverage(
-            FIRST_LATENCY_OBJECTIVE_SHARE * type.latencyObjectiveMillis(), MIN_AVERAGE_GAIN);
+            INITIAL_LATENCY_OBJECTIVE_SHARE * requestClass.latencyObjectiveMillis(),
+            MIN_AVERAGE_GAIN);
   }
 
   int index() {
@@ -39,7 +45,7 @@
     return requestClass;
   }
 
-  /** The classes that may go to the same endpoints. */
+  /** The classes with the same placement, this one included. */
   PlacementGroup placementGroup() {
     return placementGroup;
   }
@@ -48,44 +54,49 @@
     placementGroup = group;
   }
 
-  /** Served latency of a request of mean cost on an average endpoint. */
+  /** Expected latency of a request of mean cost at an average endpoint. */
   double latencyMillis() {
-    return latency.value();
+    return latencyMillis.value();
   }
 
   void recordLatency(double millis) {
-    latency.add(millis);
+    latencyMillis.add(millis);
   }
 
-  /** Mean stated cost; 0 if none was stated. */
+  /** Mean of the cost estimates that requests carry; 0 if none has carried one. */
   double meanCostMillis() {
-    return cost.value();
+    return costMillis.value();
   }
 
-  /** Records the cost, if stated, and the retry mark of an arriving request. */
+  /**
+   * Records an arriving request.
+   *
+   * @param costMillis its cost estimate; 0 if it has none
+   * @param clientRetry whether its client has marked it as a retry
+   */
   void recordArrival(double costMillis, boolean clientRetry) {
     if (costMillis > 0) {
-      cost.add(costMillis);
+      this.costMillis.add(costMillis);
     }
     clientRetryShare.add(clientRetry ? 1 : 0);
   }
 
-  /** Share of its requests, 0 to 1, that clients have marked as retries. */
+  /** Share, 0 to 1, of the requests of this class that clients have marked as retries. */
   double clientRetryShare() {
     return clientRetryShare.value();
   }
 
-  /** Its share of all arriving requests, 0 to 1. */
+  /** Share, 0 to 1, of this class in all arriving requests. */
   double trafficShare() {
     return trafficShare;
   }
 
-  /** Moves the share for one arrival, of this class or of another. */
+  /** Updates the traffic share for an arriving request, of this class or of another. */
   void updateTrafficShare(boolean ofThisClass) {
     trafficShare += MIN_AVERAGE_GAIN * ((ofThisClass ? 1 : 0) - trafficShare);
   }
 
-  /** Share of its requests to reject on arrival, 0 to 1. */
+  /** Share, 0 to 1, of the requests of this class to reject on arrival. */
   double rejectedShare() {
     return rejectedShare;
   }
@@ -94,7 +105,10 @@
     rejectedShare = share;
   }
 
-  /** When its queued requests next look for an endpoint. */
+  /**
+   * The earliest time at which a queued request of this class may run the endpoint selection again,
+   * in milliseconds; negative infinity if it may do so at any time.
+   */
   double nextSelectionAtMillis() {
     return nextSelectionAtMillis;
   }
@@ -103,7 +117,7 @@
     nextSelectionAtMillis = atMillis;
   }
 
-  /** The multiple of the expected latency that only slow attempts exceed. */
+  /** The multiple of the expected latency above which an attempt of this class is slow. */
   double slowRatio() {
     return slowRatio;
   }
--- a/src/main/java/loadbalancer/policy/RequestClassValue.java
+++ b/src/main/java/loadbalancer/policy/RequestClassValue.java
@@ -1,9 +1,9 @@
 package loadbalancer.policy;
 
-/** The value of serving the arriving requests of a class, and the work that they need. */
+/** The value of serving the requests of a class, and the work that they need. */
 final class RequestClassValue {
 
-  /** Least traffic share that a class is reckoned with: keeps ratios finite. */
+  /** Added to the traffic share of each class, so that ratios of work and value are finite. */
   static final double MIN_SHARE = 1e-6;
 
   private final boolean priorityByWork;
@@ -15,19 +15,28 @@
     this.priorityByWork = priorityByWork;
   }
 
-  /** Work that the class asks for, in milliseconds per arriving request of any class. */
-  double work(RequestClassStatistics type) {
-    double meanCost = type.meanCostMillis();
-    return (type.trafficShare() + MIN_SHARE) * (meanCost > 0 ? meanCost : type.latencyMillis());
+  /**
+   * The work that the requests of the class need, in milliseconds per arriving request of any
+   * class: its traffic share times its mean cost, or times its expected latency if its requests
+   * carry no cost estimate.
+   */
+  double work(RequestClassStatistics classStatistics) {
+    double meanCost = classStatistics.meanCostMillis();
+    return (classStatistics.trafficShare() + MIN_SHARE)
+        * (meanCost > 0 ? meanCost : classStatistics.latencyMillis());
   }
 
-  /** Value of serving the class, in units of priority weight. */
-  double value(RequestClassStatistics type) {
-    return type.requestClass().priorityWeight()
-        * (priorityByWork ? work(type) : type.trafficShare() + MIN_SHARE);
+  /**
+   * The value of serving the requests of the class, in units of priority weight, per arriving
+   * request of any class.
+   */
+  double value(RequestClassStatistics classStatistics) {
+    return classStatistics.requestClass().priorityWeight()
+        * (priorityByWork ? work(classStatistics) : classStatistics.trafficShare() + MIN_SHARE);
   }
 
-  double valuePerWork(RequestClassStatistics type) {
-    return value(type) / work(type);
+  /** The value per millisecond of work. */
+  double valuePerWork(RequestClassStatistics classStatistics) {
+    return value(classStatistics) / work(classStatistics);
   }
 }
--- a/src/test/java/loadbalancer/policy/EndpointEligibilityTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointEligibilityTest.java
@@ -46,9 +46,8 @@
 
   @Test
   void aDeduplicatedRequestIsNotRetriedIfItsWindowMayEndWhileConnecting() {
-    // The deduplication window is 500 ms and the connect timeout 100 ms, so that a retry is
-    // possible
-    // until just before 400 ms. Each case gives the time of the failure in ms and the attempts.
+    // The deduplication window is 500 ms and the connect timeout 100 ms: a retry is possible until
+    // just before 400 ms. Each case gives the time of the failure in ms and the number of attempts.
     for (int[] failureAndAttempts : new int[][] {{395, 2}, {400, 1}, {499, 1}}) {
       PolicyHarness harness =
           new PolicyHarness(
--- a/src/test/java/loadbalancer/policy/WarmUpBudgetTest.java
+++ b/src/test/java/loadbalancer/policy/WarmUpBudgetTest.java
@@ -38,8 +38,7 @@
       }
     }
     // With an even distribution each of the 10 endpoints would get 240 of the 2400 attempts. A
-    // warming one starts with 0.2 of its full capacity and collapses at 3 times its present
-    // capacity.
+    // warming one starts with 0.2 of its full capacity and collapses at 3 times that.
     assertTrue(
         toWarming > 0 && toWarming < 0.2 * 3 * 240,
         "attempts sent to the warming endpoint: " + toWarming);
@@ -139,8 +138,8 @@
         harness.finish(harness.lastAttempt(), warming ? AttemptOutcome.OK : AttemptOutcome.ERROR);
       }
     }
-    // There are about 1100 attempts for a total capacity of 3.2 warm endpoints. The warming endpoint
-    // has 0.2 of the capacity of a warm one and collapses at 3 times its present capacity.
+    // There are about 1100 attempts for the capacity of 3.2 warm endpoints. The warming endpoint
+    // has 0.2 of the capacity of a warm one and collapses at 3 times that.
     assertTrue(
         toWarming < 0.2 * 3 * 1_100 / 3.2, "attempts sent to the warming endpoint: " + toWarming);
   }
