--- a/src/main/java/loadbalancer/proxy/config/ConfigurationException.java
+++ b/src/main/java/loadbalancer/proxy/config/ConfigurationException.java
@@ -1,19 +1,19 @@
 package loadbalancer.proxy.config;
 
 /**
- * The proxy cannot run on its configuration. The message is for the operator and names the file and
- * the faulty part of it.
+ * Thrown if the proxy cannot run with its configuration. The message is meant for the operator and
+ * says what is wrong and where.
  */
 public final class ConfigurationException extends Exception {
 
   private static final long serialVersionUID = 1;
 
-  /** Reports what is wrong and where. */
+  /** Creates an exception without a cause. */
   public ConfigurationException(String message) {
     super(message);
   }
 
-  /** Reports what is wrong and where, with the failure that showed it. */
+  /** Creates an exception that was caused by another one. */
   public ConfigurationException(String message, Throwable cause) {
     super(message, cause);
   }
--- a/src/main/java/loadbalancer/proxy/config/InvalidConfigurationValueException.java
+++ b/src/main/java/loadbalancer/proxy/config/InvalidConfigurationValueException.java
@@ -1,6 +1,9 @@
 package loadbalancer.proxy.config;
 
-/** A value of the configuration is malformed; the message names its key and what was expected. */
+/**
+ * Thrown if a value in the configuration is malformed. The message names its key and what was
+ * expected.
+ */
 public final class InvalidConfigurationValueException extends IllegalArgumentException {
 
   private static final long serialVersionUID = 1;
--- a/src/main/java/loadbalancer/proxy/config/ProxyConfig.java
+++ b/src/main/java/loadbalancer/proxy/config/ProxyConfig.java
@@ -16,20 +16,20 @@
 import loadbalancer.settings.SettingsParser;
 
 /**
- * The configuration file of one instance, which the environment variable {@code PROXY_CONFIG}
- * names.
+ * The configuration of one instance. It is read from the file whose path is in the environment
+ * variable {@code PROXY_CONFIG}.
  *
  * @param name the name of the instance in its log
- * @param listen where it accepts clients
- * @param discovery where discovery listens
- * @param seed the seed of its random decisions
- * @param maxDescriptors how many file descriptors the process may hold
+ * @param listen the address at which the instance accepts clients
+ * @param discovery the address of the discovery service
+ * @param seed the seed of the random decisions of the policy and of the discovery client
+ * @param maxDescriptors the maximum number of file descriptors that the process may hold
  * @param settings the settings of the policy
  * @param zones the names of the zones, by the index that the policy uses
- * @param machineTypes the names of the machine types, likewise
- * @param requestClasses the names of the request classes, likewise
- * @param tenants the names of the tenants, likewise
- * @param knownEndpoints the endpoint list that the instance starts with; it may be stale
+ * @param machineTypes the names of the machine types, by the index that the policy uses
+ * @param requestClasses the names of the request classes, by the index that the policy uses
+ * @param tenants the names of the tenants, by the index that the policy uses
+ * @param knownEndpoints the endpoint list that the instance starts with; it may be out of date
  */
 public record ProxyConfig(
     String name,
@@ -55,7 +55,8 @@
    */
   public static ProxyConfig read(String path) throws ConfigurationException {
     if (path == null || path.isEmpty()) {
-      throw new ConfigurationException("PROXY_CONFIG names no file");
+      throw new ConfigurationException(
+          "PROXY_CONFIG is not set or empty; expected the path of the configuration file");
     }
     try (InputStream file = new FileInputStream(path)) {
       return parse(JsonReader.read(file));
@@ -92,7 +93,7 @@
         new EndpointListParser(zones, machineTypes).parse(root.path("known")));
   }
 
-  /** The part of this configuration that the discovery client needs. */
+  /** The settings of the discovery client, which are part of this configuration. */
   public DiscoverySettings discoverySettings() {
     return new DiscoverySettings(
         discovery, settings.explicitWatch(), zones, machineTypes, seed, knownEndpoints.version());
@@ -112,11 +113,11 @@
       return Long.parseUnsignedLong(text, SEED_RADIX);
     } catch (NumberFormatException e) {
       throw new InvalidConfigurationValueException(
-          "seed", "'" + text + "' is no hexadecimal number", e);
+          "seed", "'" + text + "' is not a hexadecimal number of at most 64 bits", e);
     }
   }
 
-  /** The items of a list of names, or the names of a list of objects. */
+  /** The names in a list whose items are names, or objects with a {@code name}. */
   private static List<String> names(JsonNode list) {
     List<String> names = new ArrayList<>();
     list.forEach(item -> names.add(item.isObject() ? item.path("name").asText() : item.asText()));
--- a/src/main/java/loadbalancer/proxy/config/SettingsFlattener.java
+++ b/src/main/java/loadbalancer/proxy/config/SettingsFlattener.java
@@ -7,8 +7,10 @@
 import java.util.Map;
 
 /**
- * Turns nested settings in JSON into the {@code path=value} lines that {@link
- * loadbalancer.settings.SettingsParser} reads.
+ * Converts nested settings in JSON to the {@code path=value} lines that {@link
+ * loadbalancer.settings.SettingsParser} reads. A list of objects becomes a {@code path.count} line
+ * and the lines of each object below {@code path.index}; any other list becomes one line with the
+ * items separated by commas.
  */
 final class SettingsFlattener {
 
@@ -16,7 +18,7 @@
 
   private SettingsFlattener() {}
 
-  /** The lines in UTF-8; a null or missing value has none. */
+  /** Returns the lines in UTF-8; there is none for a null or missing value. */
   static byte[] flatten(JsonNode settings) {
     SettingsFlattener flattener = new SettingsFlattener();
     flattener.append("", settings);
@@ -50,7 +52,7 @@
     }
   }
 
-  /** The text without the characters that separate lines and items. */
+  /** The text of a value; white space and commas, which separate lines and items, become '_'. */
   private static String scalarText(JsonNode value) {
     return value.asText().replaceAll("[\\s,]", "_");
   }
--- a/src/main/java/loadbalancer/proxy/config/package-info.java
+++ b/src/main/java/loadbalancer/proxy/config/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The configuration file of the proxy and its errors.
+ * Reads the configuration file of the proxy and reports errors in it.
  *
- * <p>Read at start and at each reload, on the thread that does so; the results are immutable. The
- * settings within the file are read by {@link loadbalancer.settings.SettingsParser}.
+ * <p>The file is read at start and at each reload, on the thread that starts or reloads the proxy;
+ * the results are immutable. {@link loadbalancer.settings.SettingsParser} parses the policy
+ * settings in the file.
  */
 package loadbalancer.proxy.config;
--- a/src/main/java/loadbalancer/proxy/eventloop/Clock.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/Clock.java
@@ -1,9 +1,9 @@
 package loadbalancer.proxy.eventloop;
 
 /**
- * Milliseconds since 1970 that never go back. The system clock is read once, when this is created;
- * the monotonic clock counts from there, so that corrections of the system clock change no timeout.
- * Safe for use on any thread.
+ * A monotonic clock in milliseconds since 1970. It reads the system clock once, when it is created,
+ * and adds the time elapsed since then by {@link System#nanoTime()}, so that corrections of the
+ * system clock do not affect timeouts. Safe for use on any thread.
  */
 public final class Clock {
 
@@ -12,7 +12,7 @@
   private final long startMillis = System.currentTimeMillis();
   private final long startNanos = System.nanoTime();
 
-  /** The current time in milliseconds. */
+  /** The current time in milliseconds since 1970. */
   public double now() {
     return startMillis + (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
   }
--- a/src/main/java/loadbalancer/proxy/eventloop/DescriptorBudget.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/DescriptorBudget.java
@@ -6,26 +6,29 @@
 import java.util.function.DoublePredicate;
 
 /**
- * Divides the file descriptors that the process may hold between connections of clients and those
- * to endpoints. A share is reserved for clients, as those in the accept backlog cannot be rejected,
- * and idle connections are closed when another connection needs their descriptor. Used on the event
- * loop thread only.
+ * Divides the file descriptors that the process may hold between connections from clients and
+ * connections to endpoints. A share is reserved for clients: without a descriptor, a client in the
+ * accept backlog cannot even be rejected. Idle connections are closed when another connection needs
+ * their descriptor. Used on the event loop thread only.
  */
 public final class DescriptorBudget {
 
-  /** For the virtual machine, the listening socket, discovery and one batch of new clients. */
+  /**
+   * Descriptors for the virtual machine, the listening socket, the discovery connection and one
+   * batch of new clients.
+   */
   private static final int RESERVED_DESCRIPTORS = 64;
 
-  /** One in this many connections is reserved for clients. */
+  /** One in this many connections is reserved for clients; also the least number of connections. */
   private static final int CLIENT_SHARE_DIVISOR = 5;
 
-  /** A client that has been idle for longer is unlikely to send a request soon. */
-  private static final double IDLE_CLIENT_MILLIS = 300;
+  /** A client that has been idle for longer than this is unlikely to send a request soon. */
+  private static final double LONG_IDLE_CLIENT_MILLIS = 300;
 
-  /** The number of connections that Netty accepts at once at most. */
+  /** The maximum number of connections that Netty accepts in one pass. */
   private static final int ACCEPT_BATCH = 16;
 
-  /** At most one in this many connections is kept free for a batch. */
+  /** At most one in this many connections is kept free for a batch of new clients. */
   private static final int SPARE_SHARE_DIVISOR = 10;
 
   private final int maxConnections;
@@ -56,7 +59,8 @@
   }
 
   /**
-   * Whether a connection to an endpoint may be opened; closes an idle connection for it if needed.
+   * Whether a connection to an endpoint may be opened. Closes an idle connection if that is needed
+   * to make room.
    *
    * @param now the time in milliseconds
    */
@@ -65,8 +69,8 @@
   }
 
   /**
-   * Whether one more client may be accepted; closes idle connections as needed to keep a batch
-   * free, since clients are accepted several at a time.
+   * Whether one more client may be accepted. Closes idle connections as needed to keep the
+   * descriptors of a whole batch free, since Netty accepts several clients in one pass.
    *
    * @param now the time in milliseconds
    */
@@ -80,8 +84,8 @@
   }
 
   /**
-   * Closes up to a batch of idle connections after the descriptors have run out in spite of the
-   * budget.
+   * Closes up to {@link #ACCEPT_BATCH} idle connections, after the process has run out of
+   * descriptors in spite of the budget.
    *
    * @param now the time in milliseconds
    */
@@ -92,22 +96,27 @@
     }
   }
 
-  /** Long idle clients go first: reconnecting costs them less than it costs an endpoint. */
+  /**
+   * Closes one idle connection and returns whether there was one. Clients that have been idle for
+   * long come first, then connections to endpoints, then other idle clients: a new client
+   * connection costs less than a new connection to an endpoint.
+   */
   private boolean evict(double now) {
-    return evictClient.test(now - IDLE_CLIENT_MILLIS)
+    return evictClient.test(now - LONG_IDLE_CLIENT_MILLIS)
         || evictUpstream.getAsBoolean()
         || evictClient.test(now);
   }
 
-  /** Counts an open connection until it is closed. */
+  /** Counts a connection against the budget until it is closed. */
   public void track(Channel channel) {
     openConnections++;
-    channel.closeFuture().addListener(closed -> openConnections--);
+    channel.closeFuture().addListener(future -> openConnections--);
   }
 
   /**
-   * Reads at once what the kernel holds for a channel: bytes, the end of the stream, or connections
-   * in the accept backlog. The state of the channel is then as recent as it can be.
+   * Reads immediately what the kernel holds for a channel: bytes, the end of the stream, or
+   * connections in the accept backlog. The channel then reflects the current state of its peer as
+   * far as the kernel knows it.
    */
   public static void readNow(Channel channel) {
     if (channel.isOpen()) {
--- a/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
@@ -9,10 +9,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * Measures how late an event loop is. An event that becomes ready while the loop is busy waits
- * unread until the next call to the selector; this class gives a bound of that wait and counts
- * iterations by their duration. To know when the loop blocks, it also decides when the loop may
- * block and for how long. Used on the thread of its event loop only.
+ * Measures the lateness of an event loop. An event that becomes ready while the loop is busy is not
+ * seen before the next call to the selector; this class gives an upper bound of that wait, and
+ * counts iterations by their duration. To know when the selector blocks, it also controls when it
+ * may block and for how long. Used on the thread of its event loop only.
  */
 public final class EventLoopMonitor {
 
@@ -20,42 +20,49 @@
   private static final int PERCENT = 100;
 
   /**
-   * The length of a window of recent iterations. On a shared processor long iterations come every
-   * few seconds; those of the start must not count for much longer.
+   * The length of a window of recent iterations. On a shared processor, long iterations occur every
+   * few seconds, so a shorter window would miss them; a longer one would count the long iterations
+   * of the start-up for too long.
    */
   private static final long WINDOW_NANOS = 4_000 * NANOS_PER_MILLI;
 
   /**
    * Durations of iterations since the last report, in whole milliseconds.
    *
-   * @param p50Millis an upper bound of the median: one less than a power of two
-   * @param p99Millis likewise of the 99th percentile
+   * @param p50Millis the median, rounded up to one less than a power of two
+   * @param p99Millis the 99th percentile, rounded up likewise
    * @param maxMillis the longest duration, rounded down
    */
   public record Report(long iterations, long p50Millis, long p99Millis, long maxMillis) {}
 
   private final LongSupplier nanoTime;
 
-  /** Iterations since the last report by the number of bits of their duration in milliseconds. */
-  private final long[] countsByBits = new long[Long.SIZE + 1];
+  /**
+   * The number of iterations since the last report, by the number of significant bits of their
+   * duration in whole milliseconds.
+   */
+  private final long[] countsByBitLength = new long[Long.SIZE + 1];
 
   /** The longest iteration since the last report. */
   private long reportMaxMillis;
 
-  /** The longest iterations of the current and of the previous window. */
+  /** The longest iteration of the current window and that of the previous one. */
   private long windowMaxNanos;
 
   private long previousWindowMaxNanos;
   private long windowStartNanos;
-  private boolean started;
+  private boolean iterationStarted;
   private long iterationCount;
 
-  /** When the selector last returned, and when before the current iteration. */
+  /** When the selector last returned, and when it last returned before the current iteration. */
   private long selectedAtNanos;
 
   private long previousSelectedAtNanos;
 
-  /** Whether nothing was ready when the current iteration began, so that the selector blocked. */
+  /**
+   * Whether no event was ready when the current iteration began, so that the selector was allowed
+   * to block.
+   */
   private boolean blocked;
 
   /**
@@ -70,20 +77,20 @@
     windowStartNanos = selectedAtNanos;
   }
 
-  /** Makes the handlers of a factory report to this monitor; they work as before otherwise. */
-  public IoHandlerFactory wrap(IoHandlerFactory handlers) {
-    return executor -> new MonitoredHandler(handlers.newHandler(executor));
+  /** Returns a factory whose handlers delegate to those of the given one and are monitored. */
+  public IoHandlerFactory wrap(IoHandlerFactory factory) {
+    return executor -> new MonitoredHandler(factory.newHandler(executor));
   }
 
-  /** The number of iterations begun so far. */
+  /** The number of iterations begun since this monitor was created. */
   public long iterationCount() {
     return iterationCount;
   }
 
   /**
-   * The longest time in milliseconds for which an event that is being handled now may have waited.
-   * A selector that blocked returned with the first event; otherwise the event became ready after
-   * the selector had returned the time before.
+   * An upper bound, in milliseconds, of the time since the event that is being handled became
+   * ready. If the selector blocked, it returned as soon as the first event was ready. Otherwise the
+   * event became ready after the previous return of the selector.
    */
   public double longestWaitMillis() {
     return millisSince(blocked ? selectedAtNanos : previousSelectedAtNanos);
@@ -94,8 +101,8 @@
   }
 
   /**
-   * The longest iteration of the last 4 to 8 seconds, in milliseconds: a timer that is set now may
-   * be that late.
+   * The duration of the longest iteration of the last 4 to 8 seconds, in milliseconds. A timer that
+   * is set now may fire late by this much.
    */
   public double recentLatenessMillis() {
     return (double) Math.max(windowMaxNanos, previousWindowMaxNanos) / NANOS_PER_MILLI;
@@ -103,53 +110,56 @@
 
   /** Reports the iterations since the last report and resets the counts. */
   public Report report() {
-    long total = 0;
-    for (long count : countsByBits) {
-      total += count;
+    long iterations = 0;
+    for (long count : countsByBitLength) {
+      iterations += count;
     }
     Report report =
-        new Report(total, percentile(50, total), percentile(99, total), reportMaxMillis);
-    Arrays.fill(countsByBits, 0);
+        new Report(
+            iterations,
+            percentileMillis(50, iterations),
+            percentileMillis(99, iterations),
+            reportMaxMillis);
+    Arrays.fill(countsByBitLength, 0);
     reportMaxMillis = 0;
     return report;
   }
 
-  private long percentile(int percent, long total) {
-    long atMost = 0;
-    for (int bits = 0; bits < countsByBits.length; bits++) {
-      atMost += countsByBits[bits];
-      if (atMost * PERCENT >= total * percent) {
+  private long percentileMillis(int percent, long iterations) {
+    long cumulativeCount = 0;
+    for (int bits = 0; bits < countsByBitLength.length; bits++) {
+      cumulativeCount += countsByBitLength[bits];
+      if (cumulativeCount * PERCENT >= iterations * percent) {
         return (1L << bits) - 1;
       }
     }
     return Long.MAX_VALUE;
   }
 
-  /** Called before the selector: the current iteration ends and the next one begins. */
+  /** Ends the current iteration and begins the next one; called before the selector. */
   private void beginIteration() {
-    long now = nanoTime.getAsLong();
-    if (started) {
-      countIteration(now - selectedAtNanos, now);
+    long nowNanos = nanoTime.getAsLong();
+    if (iterationStarted) {
+      countIteration(nowNanos - selectedAtNanos, nowNanos);
     }
-    started = true;
+    iterationStarted = true;
     iterationCount++;
     previousSelectedAtNanos = selectedAtNanos;
   }
 
-  private void countIteration(long nanos, long now) {
-    long millis = nanos / NANOS_PER_MILLI;
-    countsByBits[Long.SIZE - Long.numberOfLeadingZeros(millis)]++;
-    reportMaxMillis = Math.max(reportMaxMillis, millis);
-    if (now - windowStartNanos >= WINDOW_NANOS) {
-      previousWindowMaxNanos = now - windowStartNanos < 2 * WINDOW_NANOS ? windowMaxNanos : 0;
+  private void countIteration(long durationNanos, long nowNanos) {
+    long durationMillis = durationNanos / NANOS_PER_MILLI;
+    countsByBitLength[Long.SIZE - Long.numberOfLeadingZeros(durationMillis)]++;
+    reportMaxMillis = Math.max(reportMaxMillis, durationMillis);
+    if (nowNanos - windowStartNanos >= WINDOW_NANOS) {
+      previousWindowMaxNanos = nowNanos - windowStartNanos < 2 * WINDOW_NANOS ? windowMaxNanos : 0;
       windowMaxNanos = 0;
-      windowStartNanos = now;
+      windowStartNanos = nowNanos;
     }
-    windowMaxNanos = Math.max(windowMaxNanos, nanos);
+    windowMaxNanos = Math.max(windowMaxNanos, durationNanos);
   }
 
-  /** Called when the selector has returned. */
-  private void afterSelect() {
+  private void selectorReturned() {
     selectedAtNanos = nanoTime.getAsLong();
   }
 
@@ -159,7 +169,7 @@
         : (nanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI * NANOS_PER_MILLI;
   }
 
-  /** Delegates all calls, and notifies the monitor before and after each call to the selector. */
+  /** Delegates all calls, and notifies the monitor before the selector is called. */
   private final class MonitoredHandler implements IoHandler {
 
     private final IoHandler handler;
@@ -175,8 +185,9 @@
     }
 
     /**
-     * Handles what is ready, and blocks only if nothing is. The duration of a call to the selector
-     * does not show whether it blocked: on a shared processor any call may be slow.
+     * Handles the events that are ready without blocking, and only if there are none calls the
+     * selector again and allows it to block. The duration of a single call would not show whether
+     * it blocked, since any call may be slow on a shared processor.
      */
     @Override
     public int run(IoHandlerContext context) {
@@ -217,7 +228,10 @@
     }
   }
 
-  /** Netty calls {@link #shouldReportActiveIoTime} right after each return of the selector. */
+  /**
+   * Delegates to the context of the event loop. Netty calls {@link #shouldReportActiveIoTime} right
+   * after each return of the selector, which is how the monitor learns of it.
+   */
   private final class MonitoredContext implements IoHandlerContext {
 
     private IoHandlerContext context;
@@ -228,12 +242,13 @@
     }
 
     /**
-     * Rounded up to a millisecond, the unit in which Netty's selector waits. Netty rounds to the
-     * nearest one, and would spin on the selector until the timer is due.
+     * Rounds the delay up to a whole millisecond, the unit in which Netty's selector waits. Netty
+     * itself rounds to the nearest one, and after rounding down would call the selector over and
+     * over until the timer is due.
      */
     @Override
-    public long delayNanos(long now) {
-      return roundUpToMillis(context.delayNanos(now));
+    public long delayNanos(long currentTimeNanos) {
+      return roundUpToMillis(context.delayNanos(currentTimeNanos));
     }
 
     @Override
@@ -248,7 +263,7 @@
 
     @Override
     public boolean shouldReportActiveIoTime() {
-      afterSelect();
+      selectorReturned();
       return context.shouldReportActiveIoTime();
     }
   }
--- a/src/main/java/loadbalancer/proxy/eventloop/RunToCompletionQueue.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/RunToCompletionQueue.java
@@ -5,8 +5,8 @@
 
 /**
  * Handles events one at a time, in the order in which they were added. An event that is added while
- * another is being handled waits until that one has been handled to its end. Not thread-safe: it is
- * used on the thread of its event loop only.
+ * another one is being handled waits until the handler has returned. Not thread-safe; used on the
+ * thread of its event loop only.
  *
  * @param <E> the type of the events
  */
@@ -27,9 +27,9 @@
   }
 
   /**
-   * Adds an event. Unless another one is being handled, handles it and all that are added meanwhile
-   * before it returns. An exception of the handler is passed on; the events behind are handled with
-   * the next one that is added.
+   * Adds an event. Unless another event is being handled, this method handles it, and all events
+   * that are added in the process, before it returns. An exception from the handler is thrown to
+   * the caller; the events still in the queue are handled when the next one is added.
    */
   public void add(E event) {
     pending.add(event);
--- a/src/main/java/loadbalancer/proxy/logging/LogRateLimiter.java
+++ b/src/main/java/loadbalancer/proxy/logging/LogRateLimiter.java
@@ -6,7 +6,7 @@
 
 /**
  * Limits the rate of log lines, so that misbehaving peers cannot fill the log, which the platform
- * keeps in memory. Calls on several threads at once may miscount, which does no harm.
+ * keeps in memory. Concurrent calls may miscount by a few lines, which is harmless.
  */
 public final class LogRateLimiter implements Filter {
 
@@ -21,13 +21,16 @@
   /**
    * Creates a limiter.
    *
-   * @param clockMillis the time in milliseconds; never goes back
+   * @param clockMillis a monotonic clock in milliseconds
    */
   public LogRateLimiter(DoubleSupplier clockMillis) {
     this.clockMillis = clockMillis;
   }
 
-  /** Returns whether a line is written; the first one after dropped lines gets their number. */
+  /**
+   * Whether a line is to be written. Appends the number of dropped lines to the first line after
+   * the window in which they were dropped.
+   */
   @Override
   public boolean isLoggable(LogRecord line) {
     double now = clockMillis.getAsDouble();
--- a/src/main/java/loadbalancer/proxy/logging/ProxyLogger.java
+++ b/src/main/java/loadbalancer/proxy/logging/ProxyLogger.java
@@ -3,8 +3,8 @@
 import java.util.logging.Logger;
 
 /**
- * The logger that all classes of the process share: a filter such as {@link LogRateLimiter} applies
- * to one logger only, and child loggers do not inherit it.
+ * The single logger of the process. All classes share it because a filter such as {@link
+ * LogRateLimiter} applies to one logger only and is not inherited by child loggers.
  */
 public final class ProxyLogger {
 
--- a/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/EventLoopMonitorTest.java
@@ -16,33 +16,39 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bounds of waits and durations of iterations, on a clock that the test advances. */
+/**
+ * Tests the bounds of waits and the durations of iterations that the monitor gives, with a fake
+ * clock that the test advances.
+ */
 class EventLoopMonitorTest {
 
-  private long now = TimeUnit.SECONDS.toNanos(7);
-  private final EventLoopMonitor monitor = new EventLoopMonitor(() -> now);
-  private boolean ready;
+  private long nowNanos = TimeUnit.SECONDS.toNanos(7);
+  private final EventLoopMonitor monitor = new EventLoopMonitor(() -> nowNanos);
+  private boolean eventReady;
   private long selectMillis;
   private final IoHandler handler = monitor.wrap(executor -> new FakeHandler()).newHandler(null);
 
   private void advance(long millis) {
-    now += TimeUnit.MILLISECONDS.toNanos(millis);
+    nowNanos += TimeUnit.MILLISECONDS.toNanos(millis);
   }
 
-  /** Blocks for {@code select} ms unless that is 0, then handles events for {@code work} ms. */
-  private void iterate(long select, long work) {
-    iterate(select == 0, select, work);
+  /**
+   * Runs one iteration of the event loop. The selector blocks for the given time, unless that is 0
+   * because an event is already ready.
+   */
+  private void iterate(long blockingMillis, long handlingMillis) {
+    iterate(blockingMillis == 0, blockingMillis, handlingMillis);
   }
 
-  private void iterate(boolean someReady, long select, long work) {
-    ready = someReady;
-    selectMillis = select;
-    handler.run(new Context());
-    advance(work);
+  private void iterate(boolean ready, long selectorMillis, long handlingMillis) {
+    eventReady = ready;
+    selectMillis = selectorMillis;
+    handler.run(new FakeContext());
+    advance(handlingMillis);
   }
 
   @Test
-  void waitIsBoundedByThePreviousReturnOfTheSelector() {
+  void waitIsBoundedByThePreviousReturnOfASelectorThatDidNotBlock() {
     iterate(10, 0);
     advance(300);
     iterate(0, 0);
@@ -73,11 +79,11 @@
 
   @Test
   void pollingAndBlockingAreOneIteration() {
-    long before = monitor.iterationCount();
+    long iterationsBefore = monitor.iterationCount();
     iterate(10, 0);
-    assertEquals(before + 1, monitor.iterationCount());
+    assertEquals(iterationsBefore + 1, monitor.iterationCount());
     iterate(0, 0);
-    assertEquals(before + 2, monitor.iterationCount());
+    assertEquals(iterationsBefore + 2, monitor.iterationCount());
   }
 
   @Test
@@ -112,18 +118,18 @@
     assertEquals(new EventLoopMonitor.Report(1, 0, 0, 0), monitor.report());
   }
 
-  /** The number of iterations for successive timers with the given delay. */
-  private static long iterationsForTimers(int timers, long micros) throws Exception {
-    EventLoopMonitor watching = new EventLoopMonitor(System::nanoTime);
+  /** Runs timers one after another on a real event loop, and returns its number of iterations. */
+  private static long iterationsForTimers(int timers, long delayMicros) throws Exception {
+    EventLoopMonitor loopMonitor = new EventLoopMonitor(System::nanoTime);
     EventLoopGroup group =
-        new MultiThreadIoEventLoopGroup(1, watching.wrap(NioIoHandler.newFactory()));
+        new MultiThreadIoEventLoopGroup(1, loopMonitor.wrap(NioIoHandler.newFactory()));
     try {
       EventLoop loop = group.next();
-      long before = loop.submit(watching::iterationCount).get();
+      long iterationsBefore = loop.submit(loopMonitor::iterationCount).get();
       for (int i = 0; i < timers; i++) {
-        loop.schedule(() -> {}, micros, TimeUnit.MICROSECONDS).sync();
+        loop.schedule(() -> {}, delayMicros, TimeUnit.MICROSECONDS).sync();
       }
-      return loop.submit(watching::iterationCount).get() - before;
+      return loop.submit(loopMonitor::iterationCount).get() - iterationsBefore;
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
@@ -131,24 +137,25 @@
 
   @ParameterizedTest
   @ValueSource(longs = {300, 1_300})
-  void eventLoopDoesNotSpinUntilATimerIsDue(long micros) throws Exception {
+  void eventLoopDoesNotSpinUntilATimerIsDue(long delayMicros) throws Exception {
     int timers = 200;
-    long iterations = iterationsForTimers(timers, micros);
-    // A timer wakes the loop when it is set and when it is due, and may be found due too early.
+    long iterations = iterationsForTimers(timers, delayMicros);
+    // A timer causes an iteration when it is scheduled and another when it is due, and the loop may
+    // also wake up slightly before it is due.
     assertTrue(iterations <= 4L * timers, iterations + " iterations for " + timers + " timers");
   }
 
-  /** Calls its context in the order in which Netty's handlers do. */
+  /** Calls the context in the same order as Netty's handlers do. */
   private final class FakeHandler implements IoHandler {
 
     @Override
     public int run(IoHandlerContext context) {
-      boolean returns = ready || context.canBlock();
-      if (returns) {
+      boolean eventFound = eventReady || context.canBlock();
+      if (eventFound) {
         advance(selectMillis);
       }
       context.shouldReportActiveIoTime();
-      return returns ? 1 : 0;
+      return eventFound ? 1 : 0;
     }
 
     @Override
@@ -167,7 +174,7 @@
     }
   }
 
-  private static final class Context implements IoHandlerContext {
+  private static final class FakeContext implements IoHandlerContext {
 
     @Override
     public boolean canBlock() {
@@ -175,7 +182,7 @@
     }
 
     @Override
-    public long delayNanos(long now) {
+    public long delayNanos(long currentTimeNanos) {
       return 0;
     }
 
--- a/src/test/java/loadbalancer/proxy/eventloop/RunToCompletionQueueTest.java
+++ b/src/test/java/loadbalancer/proxy/eventloop/RunToCompletionQueueTest.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The order in which events that cause further events are handled. */
+/** Tests the order in which events are handled if handlers add further events or fail. */
 class RunToCompletionQueueTest {
 
-  private final List<String> log = new ArrayList<>();
+  private final List<String> handled = new ArrayList<>();
   private final RunToCompletionQueue<Runnable> queue = new RunToCompletionQueue<>(Runnable::run);
 
   @Test
@@ -20,27 +20,27 @@
     queue.add(
         () -> {
           assertTrue(queue.isRunning());
-          queue.add(() -> log.add("second"));
-          queue.add(() -> log.add("third"));
-          log.add("first");
+          queue.add(() -> handled.add("second"));
+          queue.add(() -> handled.add("third"));
+          handled.add("first");
         });
-    assertEquals(List.of("first", "second", "third"), log);
+    assertEquals(List.of("first", "second", "third"), handled);
     assertFalse(queue.isRunning());
   }
 
   @Test
-  void eventsBehindAFailedOneAreHandledWithTheNext() {
+  void eventsQueuedBehindAFailedOneAreHandledWithTheNextOne() {
     assertThrows(
         IllegalStateException.class,
         () ->
             queue.add(
                 () -> {
-                  queue.add(() -> log.add("second"));
+                  queue.add(() -> handled.add("second"));
                   throw new IllegalStateException("first");
                 }));
     assertFalse(queue.isRunning());
-    assertEquals(List.of(), log);
-    queue.add(() -> log.add("third"));
-    assertEquals(List.of("second", "third"), log);
+    assertEquals(List.of(), handled);
+    queue.add(() -> handled.add("third"));
+    assertEquals(List.of("second", "third"), handled);
   }
 }
