--- a/src/test/java/loadbalancer/proxy/frontend/FrontendTest.java
+++ b/src/test/java/loadbalancer/proxy/frontend/FrontendTest.java
@@ -25,13 +25,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Client connections: each request has one response, whatever the client or the policy do. */
+/** Client connections: each request gets one response, whatever the client or the policy does. */
 @Timeout(60)
 class FrontendTest {
 
   private static final String HEALTH_CHECK = "GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n";
 
-  /** Checks the timeouts of all connections as if so much time had passed. */
+  /** Checks the timeouts of all connections as if that much time had passed. */
   private static void checkTimeoutsAfter(ProxyFixture fixture, double millis) throws Exception {
     fixture.server.onLoop(
         (frontend, upstreams) -> {
@@ -40,20 +40,20 @@
         });
   }
 
-  /** Returns once the server has read what clients sent before. */
+  /** Returns once the server has read all that clients sent before this call. */
   private static void awaitInputRead(ProxyFixture fixture) throws Exception {
-    HttpPeer other = fixture.connectClient();
-    other.write(HEALTH_CHECK);
-    other.read();
-    other.close();
+    HttpPeer laterClient = fixture.connectClient();
+    laterClient.write(HEALTH_CHECK);
+    laterClient.read();
+    laterClient.close();
   }
 
-  private interface Task {
+  private interface IoTask {
     void run() throws IOException;
   }
 
-  /** Runs a task on the event loop; what it sends stays unread in the kernel until it returns. */
-  private static void runOnLoop(ProxyFixture fixture, Task task) throws Exception {
+  /** Runs a task on the event loop, which reads nothing that the task sends before it returns. */
+  private static void runOnLoop(ProxyFixture fixture, IoTask task) throws Exception {
     fixture.server.onLoop(
         (frontend, upstreams) -> {
           try {
@@ -66,8 +66,8 @@
   }
 
   /** What a client sends after its request, before it disconnects. */
-  private static String furtherInput(String kind) {
-    return switch (kind) {
+  private static String furtherInput(String inputKind) {
+    return switch (inputKind) {
       case "pipelined" -> ProxyFixture.atMostOnceRequest("pipelined", "b".repeat(30_000));
       case "partial" ->
           "POST /credit-spend HTTP/1.1\r\nContent-Length: 60000\r\n\r\n" + "b".repeat(30_000);
@@ -157,18 +157,18 @@
     @Test
     void rejectsRequestIdThatIsInFlight() throws Exception {
       try (ProxyFixture fixture = new ProxyFixture().start()) {
-        HttpPeer first = fixture.connectClient();
-        first.write(ProxyFixture.atMostOnceRequest("same", "x"));
+        HttpPeer firstClient = fixture.connectClient();
+        firstClient.write(ProxyFixture.atMostOnceRequest("same", "x"));
         HttpPeer upstream = fixture.upstreams.get(0).accept();
         upstream.read();
-        HttpPeer second = fixture.connectClient();
-        second.write(ProxyFixture.atMostOnceRequest("same", "x"));
-        assertEquals(409, second.read().status());
-        assertTrue(second.isClosedByPeer());
+        HttpPeer secondClient = fixture.connectClient();
+        secondClient.write(ProxyFixture.atMostOnceRequest("same", "x"));
+        assertEquals(409, secondClient.read().status());
+        assertTrue(secondClient.isClosedByPeer());
         upstream.write(ProxyFixture.okResponse("first"));
-        assertEquals("first", first.read().body());
-        // The request ID is free again.
-        first.write(ProxyFixture.idempotentRequest("same", "10"));
+        assertEquals("first", firstClient.read().body());
+        // The request ID may be used again.
+        firstClient.write(ProxyFixture.idempotentRequest("same", "10"));
         assertEquals("same", upstream.read().header("X-Txn"));
       }
     }
@@ -177,8 +177,7 @@
     void twoServersInOneProcessKeepTheirSettingsApart() throws Exception {
       try (ProxyFixture one = new ProxyFixture();
           ProxyFixture other = new ProxyFixture()) {
-        // Guards against shared state: a class that is idempotent in one server is not in the
-        // other.
+        // Guards against static state: the same class is idempotent in one server only.
         other.configEdit =
             config ->
                 config
@@ -188,20 +187,20 @@
         one.start();
         other.start();
         for (ProxyFixture fixture : new ProxyFixture[] {other, one, other}) {
-          HttpPeer getter = fixture.connectClient();
-          getter.write(ProxyFixture.idempotentRequest("g", "10"));
-          HttpPeer spender = fixture.connectClient();
-          spender.write(ProxyFixture.atMostOnceRequest("s", "x"));
-          // Both are in flight before one is answered, or they could share an upstream connection.
-          List<HttpPeer> out = new ArrayList<>();
+          HttpPeer idempotentClient = fixture.connectClient();
+          idempotentClient.write(ProxyFixture.idempotentRequest("g", "10"));
+          HttpPeer atMostOnceClient = fixture.connectClient();
+          atMostOnceClient.write(ProxyFixture.atMostOnceRequest("s", "x"));
+          // Both are forwarded before one is answered, or both could use one upstream connection.
+          List<HttpPeer> upstreamPeers = new ArrayList<>();
           for (int i = 0; fixture == one && i < 2; i++) {
-            out.add(fixture.upstreams.get(0).accept());
-            out.get(i).read();
+            upstreamPeers.add(fixture.upstreams.get(0).accept());
+            upstreamPeers.get(i).read();
           }
-          for (HttpPeer upstream : out) {
+          for (HttpPeer upstream : upstreamPeers) {
             upstream.write(ProxyFixture.okResponse("served"));
           }
-          for (HttpPeer client : new HttpPeer[] {getter, spender}) {
+          for (HttpPeer client : new HttpPeer[] {idempotentClient, atMostOnceClient}) {
             assertEquals(fixture == one ? 200 : 400, client.read().status());
           }
         }
@@ -225,11 +224,11 @@
         HttpPeer upstream = fixture.upstreams.get(0).accept();
         assertEquals("1", upstream.read().header("X-Txn"));
         upstream.write(ProxyFixture.okResponse("first"));
-        // The next request is dispatched before the first upstream connection is idle again.
+        // The next request is forwarded before the first upstream connection is idle again.
         assertEquals("first", client.read().body());
-        HttpPeer second = fixture.upstreams.get(0).accept();
-        assertEquals("2", second.read().header("X-Txn"));
-        second.write(ProxyFixture.okResponse("second"));
+        HttpPeer secondUpstream = fixture.upstreams.get(0).accept();
+        assertEquals("2", secondUpstream.read().header("X-Txn"));
+        secondUpstream.write(ProxyFixture.okResponse("second"));
         assertEquals("second", client.read().body());
         assertEquals(200, client.read().status());
       }
@@ -288,18 +287,18 @@
               deadlines.add(request.deadlineMillis());
               fixture.policy.sendTo(0, request, 0);
             };
-        double answered = fixture.server.now();
+        double answeredAtMillis = fixture.server.now();
         upstream.write(ProxyFixture.okResponse("first"));
-        assertTrue(ScriptedPolicy.takeNext(deadlines) < answered + 1);
+        assertTrue(ScriptedPolicy.takeNext(deadlines) < answeredAtMillis + 1);
         assertEquals("first", client.read().body());
-        // Its deadline was over before its turn; it is answered all the same.
+        // The deadline of the second request passed while it waited; it still gets a response.
         assertEquals(502, client.read().status());
         assertEquals(0, fixture.upstreams.get(0).pendingConnections());
       }
     }
   }
 
-  /** Clients that are slow, idle or too many. */
+  /** Clients that are slow or idle, or more than there are descriptors for. */
   @Nested
   class TimeoutsAndLimits {
 
@@ -307,16 +306,16 @@
     void closesSilentClientAndRejectsPartialRequest() throws Exception {
       try (ProxyFixture fixture = new ProxyFixture().start()) {
         HttpPeer silent = fixture.connectClient();
-        HttpPeer[] slow = {
+        HttpPeer[] partialClients = {
           fixture.connectClient(), fixture.connectClient(), fixture.connectClient()
         };
-        slow[0].write("GET /look-up HT");
-        slow[1].write("GET /look-up HTTP/1.1\r\n");
-        slow[2].write("POST /credit-spend HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
+        partialClients[0].write("GET /look-up HT");
+        partialClients[1].write("GET /look-up HTTP/1.1\r\n");
+        partialClients[2].write("POST /credit-spend HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
         awaitInputRead(fixture);
         checkTimeoutsAfter(fixture, 3_000);
         assertTrue(silent.isClosedByPeer());
-        for (HttpPeer client : slow) {
+        for (HttpPeer client : partialClients) {
           assertEquals(408, client.read().status());
           assertTrue(client.isClosedByPeer());
         }
@@ -333,7 +332,7 @@
         HttpPeer busy = fixture.connectClient();
         busy.write(HEALTH_CHECK);
         busy.read();
-        // Unread in the kernel or in flight, the request must not be lost.
+        // The request must not be lost, whether it is still unread in the kernel or in flight.
         busy.write(ProxyFixture.idempotentRequest("1", "10"));
         checkTimeoutsAfter(fixture, 9_000);
         assertTrue(idle.isClosedByPeer());
@@ -350,7 +349,7 @@
         fixture.maxDescriptors = 64 + 20;
         fixture.start();
         for (int i = 0; i < 200; i++) {
-          // No client closes its connection.
+          // The clients leave their connections open.
           HttpPeer client = fixture.connectClient();
           client.write(HEALTH_CHECK);
           assertEquals(200, client.read().status());
@@ -373,26 +372,28 @@
         for (int i = 0; i < 10; i++) {
           checkTimeoutsAfter(fixture, 0);
         }
-        int before = accepted.get();
-        assertTrue(before >= 5 && before <= 5 + 16, before + " accepted");
-        // Above the limit, no client is accepted for one that disconnects.
-        for (int i = 0; i < before - 5; i++) {
+        int acceptedAtFirst = accepted.get();
+        assertTrue(
+            acceptedAtFirst >= 5 && acceptedAtFirst <= 5 + 16,
+            acceptedAtFirst + " clients accepted");
+        // The last batch exceeded the limit: no client is accepted before enough have disconnected.
+        for (int i = 0; i < acceptedAtFirst - 5; i++) {
           clients[i].close();
           ScriptedPolicy.takeNext(fixture.policy.disconnected);
           checkTimeoutsAfter(fixture, 0);
           checkTimeoutsAfter(fixture, 0);
         }
-        assertEquals(before, accepted.get());
-        clients[before - 1].close();
+        assertEquals(acceptedAtFirst, accepted.get());
+        clients[acceptedAtFirst - 1].close();
         ScriptedPolicy.takeNext(fixture.policy.disconnected);
-        while (accepted.get() == before) {
+        while (accepted.get() == acceptedAtFirst) {
           Thread.onSpinWait();
         }
       }
     }
   }
 
-  /** A disconnected client's request is not forwarded, whatever lies unread before its end. */
+  /** A disconnected client's request is not forwarded, even if the disconnect is still unread. */
   @Nested
   class ClientDisconnect {
 
@@ -424,7 +425,7 @@
         runOnLoop(
             fixture,
             () -> {
-              // The server finds both events at once and reads the older one first.
+              // The request came first, so the server reads it before the disconnect.
               second.write(ProxyFixture.idempotentRequest("same", "10"));
               first.close();
             });
@@ -436,7 +437,7 @@
     }
 
     @Test
-    void doesNotForwardRequestOfClientThatLeftBeforeAccept() throws Exception {
+    void doesNotForwardRequestOfClientThatDisconnectedBeforeAccept() throws Exception {
       try (ProxyFixture fixture = new ProxyFixture().start()) {
         runOnLoop(
             fixture,
@@ -460,14 +461,15 @@
       "malformed, false",
       "malformed, true"
     })
-    void doesNotForwardRequestOfClientThatSentMoreAndLeftBeforeAccept(String kind, boolean reset)
-        throws Exception {
+    void doesNotForwardRequestOfClientThatSentMoreAndDisconnectedBeforeAccept(
+        String inputKind, boolean reset) throws Exception {
       try (ProxyFixture fixture = new ProxyFixture().start()) {
         runOnLoop(
             fixture,
             () -> {
               HttpPeer departing = HttpPeer.connect(fixture.server.address());
-              departing.write(ProxyFixture.idempotentRequest("left", "10") + furtherInput(kind));
+              departing.write(
+                  ProxyFixture.idempotentRequest("left", "10") + furtherInput(inputKind));
               if (reset) {
                 departing.reset();
               } else {
@@ -482,7 +484,7 @@
     }
 
     @Test
-    void doesNotForwardRequestOfClientThatLeftOnKeepAliveConnection() throws Exception {
+    void doesNotForwardRequestOfClientThatDisconnectedOnKeepAliveConnection() throws Exception {
       try (ProxyFixture fixture = new ProxyFixture().start()) {
         HttpPeer departing = fixture.connectClient();
         departing.write(HEALTH_CHECK);
@@ -502,20 +504,22 @@
 
     @ParameterizedTest
     @CsvSource({"1000, false", "1000, true", "5, false", "5, true", "0, false", "0, true"})
-    void noticesDisconnectBehindUnreadInput(int kind, boolean reset) throws Exception {
+    void noticesDisconnectBehindUnreadInput(int bodySizeFactor, boolean reset) throws Exception {
       try (ProxyFixture fixture = new ProxyFixture().start()) {
-        // The policy queues the request; the disconnect must end it before its deadline.
+        // The policy queues the request; the disconnect must be noticed before its deadline.
         AtomicReference<Double> deadline = new AtomicReference<>();
         fixture.policy.onRequest = request -> deadline.set(request.deadlineMillis());
         HttpPeer client = fixture.connectClient();
         client.write(
             ProxyFixture.atMostOnceRequest("waits", "x")
                 .replace("X-Remaining: 10", "X-Remaining: 15"));
-        if (kind == 0) {
+        if (bodySizeFactor == 0) {
+          // Malformed input in place of pipelined requests.
           client.write("no request at all\r\n\r\n" + "x".repeat(6 * 1024 * 1024));
         } else {
           for (int i = 0; i < 5; i++) {
-            client.write(ProxyFixture.atMostOnceRequest("pipelined" + i, "b".repeat(60 * kind)));
+            client.write(
+                ProxyFixture.atMostOnceRequest("pipelined" + i, "b".repeat(60 * bodySizeFactor)));
           }
         }
         awaitInputRead(fixture);
@@ -531,7 +535,7 @@
 
     @ParameterizedTest
     @CsvSource({"'', false", "'', true", "pipelined, false", "partial, false", "malformed, false"})
-    void doesNotSendAttemptIfDisconnectIsUnread(String kind, boolean reset) throws Exception {
+    void doesNotSendAttemptIfDisconnectIsUnread(String inputKind, boolean reset) throws Exception {
       try (ProxyFixture fixture = new ProxyFixture().start()) {
         LinkedBlockingQueue<ClientRequest> queued = new LinkedBlockingQueue<>();
         fixture.policy.onRequest = queued::add;
@@ -541,13 +545,13 @@
         runOnLoop(
             fixture,
             () -> {
-              client.write(furtherInput(kind));
+              client.write(furtherInput(inputKind));
               if (reset) {
                 client.reset();
               } else {
                 client.close();
               }
-              // The policy selects an endpoint in the same iteration of the event loop.
+              // The policy sends the attempt before the event loop reads the disconnect.
               fixture.policy.sendTo(0, request, 0);
             });
         assertEquals(AttemptOutcome.NOT_SENT, fixture.policy.nextOutcome());
@@ -560,13 +564,13 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void doesNotSendRetryIfDisconnectIsUnread(boolean halfOnly) throws Exception {
+    void doesNotSendRetryIfDisconnectIsUnread(boolean halfClose) throws Exception {
       try (ProxyFixture fixture = new ProxyFixture(2).start()) {
         HttpPeer client = fixture.connectClient();
         fixture.policy.onUnansweredResult =
             (actions, outcome) -> {
               try {
-                if (halfOnly) {
+                if (halfClose) {
                   // A half-closed connection counts as disconnected.
                   client.socket.shutdownOutput();
                 } else {
@@ -609,7 +613,7 @@
     }
   }
 
-  /** Each request has one response, in time. */
+  /** Each request gets one response, in time. */
   @Nested
   class Responses {
 
@@ -643,7 +647,8 @@
 
     @ParameterizedTest
     @CsvSource({"1,960", "0.2,180", "100,19960"})
-    void deadlineLeavesTimeForResponse(String remaining, double atMost) throws Exception {
+    void deadlineLeavesTimeForResponse(String remainingSeconds, double maxMillisLeft)
+        throws Exception {
       try (ProxyFixture fixture = new ProxyFixture()) {
         LinkedBlockingQueue<Double> remainingMillis = new LinkedBlockingQueue<>();
         fixture.policy.onRequest =
@@ -653,10 +658,10 @@
             };
         fixture.start();
         HttpPeer client = fixture.connectClient();
-        client.write(ProxyFixture.idempotentRequest("1", remaining));
+        client.write(ProxyFixture.idempotentRequest("1", remainingSeconds));
         assertEquals(503, client.read().status());
-        double millis = ScriptedPolicy.takeNext(remainingMillis);
-        assertTrue(millis <= atMost, millis + " ms");
+        double millisLeft = ScriptedPolicy.takeNext(remainingMillis);
+        assertTrue(millisLeft <= maxMillisLeft, millisLeft + " ms left for the policy");
       }
     }
 
@@ -665,7 +670,7 @@
       try (ProxyFixture fixture = new ProxyFixture().start()) {
         HttpPeer client = fixture.connectClient();
         client.write("no request at all\r\n\r\n");
-        // Guards against a reset that loses the response while the client still sends.
+        // Guards against a TCP reset that makes a client lose the response while it still sends.
         client.write("x".repeat(200_000));
         assertEquals(400, client.read().status());
         client.socket.shutdownOutput();
@@ -709,30 +714,30 @@
     }
   }
 
-  /** Mistakes of the policy, which must not affect other requests. */
+  /** Errors of the policy, which must not affect other requests. */
   @Nested
   class PolicyErrors {
 
     @ParameterizedTest
     @CsvSource({"request", "outcome", "timer"})
-    void exceptionInPolicyFailsThatRequestOnly(String where) throws Exception {
+    void exceptionInPolicyFailsThatRequestOnly(String failingEvent) throws Exception {
       try (ProxyFixture fixture = new ProxyFixture().start()) {
         ScriptedPolicy script = fixture.policy;
-        Runnable broken =
+        Runnable throwException =
             () -> {
-              throw new IllegalStateException("made by a test");
+              throw new IllegalStateException("thrown by a test");
             };
-        if (where.equals("request")) {
-          script.onRequest = request -> broken.run();
-        } else if (where.equals("outcome")) {
-          script.onUnansweredResult = (actions, outcome) -> broken.run();
+        if (failingEvent.equals("request")) {
+          script.onRequest = request -> throwException.run();
+        } else if (failingEvent.equals("outcome")) {
+          script.onUnansweredResult = (actions, outcome) -> throwException.run();
         } else {
           script.onRequest = request -> script.actions.scheduleTimer(7, 0);
-          script.onTimer = broken;
+          script.onTimer = throwException;
         }
         HttpPeer client = fixture.connectClient();
         client.write(ProxyFixture.atMostOnceRequest("1", "x"));
-        if (where.equals("outcome")) {
+        if (failingEvent.equals("outcome")) {
           HttpPeer upstream = fixture.upstreams.get(0).accept();
           upstream.read();
           upstream.close();
@@ -746,7 +751,7 @@
     }
 
     @Test
-    void requestThatPolicyForgetsFailsSoonAfterDeadline() throws Exception {
+    void requestThatPolicyLeavesWithoutResponseFailsSoonAfterDeadline() throws Exception {
       try (ProxyFixture fixture = new ProxyFixture().start()) {
         fixture.policy.onRequest = request -> {};
         HttpPeer client = fixture.connectClient();
@@ -759,20 +764,20 @@
     @Test
     void eventCausedByActionWaitsForPolicyToReturn() throws Exception {
       try (ProxyFixture fixture = new ProxyFixture().start()) {
-        boolean[] inside = new boolean[1];
-        boolean[] nested = new boolean[1];
-        fixture.policy.onResult = outcome -> nested[0] |= inside[0];
+        boolean[] handlingRequest = new boolean[1];
+        boolean[] resultWhileHandling = new boolean[1];
+        fixture.policy.onResult = outcome -> resultWhileHandling[0] |= handlingRequest[0];
         fixture.policy.onRequest =
             request -> {
-              inside[0] = true;
-              // No such endpoint: the attempt ends before the action returns.
+              handlingRequest[0] = true;
+              // No endpoint has this id, so the attempt ends before the action returns.
               fixture.policy.actions.sendAttempt(request.id(), 12_345, 0);
-              inside[0] = false;
+              handlingRequest[0] = false;
             };
         HttpPeer client = fixture.connectClient();
         client.write(ProxyFixture.idempotentRequest("1", "10"));
         assertEquals(502, client.read().status());
-        assertFalse(nested[0]);
+        assertFalse(resultWhileHandling[0]);
       }
     }
 
