--- a/src/test/java/loadbalancer/proxy/CrossZoneSpillTest.java
+++ b/src/test/java/loadbalancer/proxy/CrossZoneSpillTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The weights of the policy over sockets: where requests go while an endpoint queues them. */
+/** Where the policy sends requests while an endpoint queues them, or fails them at once. */
 @Timeout(120)
 class CrossZoneSpillTest {
 
@@ -17,17 +17,17 @@
   /** A latency objective so long that no request is late on a slow machine. */
   private static final String LONG_OBJECTIVE = "\"aim\":60000.0";
 
-  /** Reports each request that an upstream receives and never responds. */
+  /** Adds an upstream's index to the queue for each request that it receives; never responds. */
   private static void receiveWithoutResponse(
-      ScriptedListener upstream, int number, LinkedBlockingQueue<Integer> receivedBy) {
-    daemon(
+      ScriptedListener upstream, int upstreamIndex, LinkedBlockingQueue<Integer> receivedBy) {
+    startDaemonThread(
         () -> {
           while (true) {
             HttpPeer peer = upstream.accept();
-            daemon(
+            startDaemonThread(
                 () -> {
                   while (peer.read() != null) {
-                    receivedBy.add(number);
+                    receivedBy.add(upstreamIndex);
                   }
                 });
           }
@@ -38,14 +38,14 @@
     void run() throws IOException, InterruptedException;
   }
 
-  private static void daemon(Task task) {
+  private static void startDaemonThread(Task task) {
     Thread thread =
         new Thread(
             () -> {
               try {
                 task.run();
               } catch (IOException | InterruptedException e) {
-                // The test is over.
+                // The test has ended and closed the sockets.
               }
             });
     thread.setDaemon(true);
@@ -57,8 +57,8 @@
     LinkedBlockingQueue<Integer> receivedBy = new LinkedBlockingQueue<>();
     try (ProxyFixture fixture = new ProxyFixture(4)) {
       fixture.endpointsInOwnZone = 1;
-      fixture.aim = LONG_OBJECTIVE;
-      // The first tier would reject requests that are expected to be late.
+      fixture.latencyObjectiveMember = LONG_OBJECTIVE;
+      // In tier 0 the policy would reject requests that it expects to be late.
       fixture.tier = 1;
       fixture.start(LatencyWeightedPolicy::new);
       for (int i = 0; i < fixture.upstreams.size(); i++) {
@@ -69,11 +69,13 @@
         fixture.connectClient().write(ProxyFixture.atMostOnceRequest("c" + i, "x"));
         received[ScriptedPolicy.takeNext(receivedBy)]++;
       }
-      // The expected latency starts at a fifth of the objective, so 25 queued requests fill it.
-      assertTrue(received[0] <= 55, received[0] + " requests queue in the own zone");
+      // The expected latency starts at a fifth of the objective, and the endpoint is assumed to
+      // work
+      // on 5 requests at once, so the expected queueing delay of 25 is the whole objective.
+      assertTrue(received[0] <= 55, received[0] + " requests were sent to the own zone");
       assertTrue(
           received[0] >= REQUESTS / 4,
-          received[0] + " requests in spite of the cross-zone penalty");
+          received[0] + " requests were sent to the own zone in spite of the cross-zone penalty");
     }
   }
 
@@ -82,18 +84,18 @@
     LinkedBlockingQueue<Integer> receivedBy = new LinkedBlockingQueue<>();
     try (ProxyFixture fixture = new ProxyFixture(6)) {
       fixture.endpointsInOwnZone = 1;
-      fixture.aim = LONG_OBJECTIVE;
-      // The first tier would reject requests that are expected to be late.
+      fixture.latencyObjectiveMember = LONG_OBJECTIVE;
+      // In tier 0 the policy would reject requests that it expects to be late.
       fixture.tier = 1;
       fixture.start(LatencyWeightedPolicy::new);
       for (int i = 1; i < fixture.upstreams.size(); i++) {
         receiveWithoutResponse(fixture.upstreams.get(i), i, receivedBy);
       }
-      daemon(
+      startDaemonThread(
           () -> {
             while (true) {
               HttpPeer peer = fixture.upstreams.get(0).accept();
-              daemon(
+              startDaemonThread(
                   () -> {
                     while (peer.read() != null) {
                       peer.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
@@ -102,17 +104,18 @@
                   });
             }
           });
-      int failed = 0;
+      int failedCount = 0;
       for (int i = 0; i < REQUESTS; i++) {
         HttpPeer client = fixture.connectClient();
         client.write(ProxyFixture.atMostOnceRequest("f" + i, "x"));
         if (ScriptedPolicy.takeNext(receivedBy) == 0) {
-          failed++;
-          // The policy has been notified once the client has its response.
+          failedCount++;
+          // When the client has its response, the policy has been notified of the failure.
           client.read();
         }
       }
-      assertTrue(failed <= REQUESTS / 10, failed + " requests failed at the faulty endpoint");
+      assertTrue(
+          failedCount <= REQUESTS / 10, failedCount + " requests failed at the faulty endpoint");
     }
   }
 }
--- a/src/test/java/loadbalancer/proxy/DescriptorLimitTest.java
+++ b/src/test/java/loadbalancer/proxy/DescriptorLimitTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The process under a limit of the operating system on its descriptors. */
+/** A process under the operating system's limit on its file descriptors. */
 @Timeout(120)
 class DescriptorLimitTest {
 
-  private static final int LIMIT = 128;
-  private static final int IDLE_CLIENTS = 2 * LIMIT;
+  private static final int DESCRIPTOR_LIMIT = 128;
+  private static final int IDLE_CLIENTS = 2 * DESCRIPTOR_LIMIT;
 
-  /** Connects more clients than there are descriptors; none of them sends a request. */
+  /** Connects more clients than the process has descriptors; none of them sends a request. */
   private static List<HttpPeer> connectIdleClients(InetSocketAddress proxy) throws IOException {
     List<HttpPeer> idle = new ArrayList<>();
     for (int i = 0; i < IDLE_CLIENTS; i++) {
@@ -26,7 +26,7 @@
     return idle;
   }
 
-  /** Responds to discovery calls until the endpoint list has been handled. */
+  /** Sends the list in response to calls to discovery until the process has handled it. */
   private static HttpPeer sendEndpointList(ScriptedListener discovery, String list)
       throws Exception {
     while (true) {
@@ -34,13 +34,13 @@
       try {
         if (call.read() != null) {
           call.write(ProxyFixture.okResponse(list));
-          // The list has been handled once the next call arrives.
+          // The next call on the connection shows that the list has been handled.
           if (call.read() != null) {
             return call;
           }
         }
       } catch (IOException e) {
-        // This call was closed meanwhile; a later one follows.
+        // The process has closed this connection; it opens another one.
       }
     }
   }
@@ -60,39 +60,43 @@
   void idleClientsThatUseAllDescriptorsBlockNeitherDiscoveryNorAttempts() throws Exception {
     List<HttpPeer> idle = new ArrayList<>();
     try (ProxyFixture fixture = new ProxyFixture(2);
-        ScriptedListener second = new ScriptedListener()) {
+        ScriptedListener secondDiscovery = new ScriptedListener()) {
       fixture.registryMode = "automatic";
-      fixture.maxDescriptors = LIMIT;
-      String[] up = new String[2];
-      String[] draining = new String[2];
+      fixture.maxDescriptors = DESCRIPTOR_LIMIT;
+      String[] upEntries = new String[2];
+      String[] drainingEntries = new String[2];
       for (int i = 0; i < 2; i++) {
-        up[i] = ProxyFixture.endpointEntry(i, fixture.upstreams.get(i).address(), "up");
-        draining[i] = ProxyFixture.endpointEntry(i, fixture.upstreams.get(i).address(), "draining");
+        upEntries[i] = ProxyFixture.endpointEntry(i, fixture.upstreams.get(i).address(), "up");
+        drainingEntries[i] =
+            ProxyFixture.endpointEntry(i, fixture.upstreams.get(i).address(), "draining");
       }
       try (ProxyProcess proxy =
-          ProxyProcess.startInShell(fixture, "ulimit -n " + LIMIT + "; exec")) {
+          ProxyProcess.startInShell(fixture, "ulimit -n " + DESCRIPTOR_LIMIT + "; exec")) {
         proxy.connect().close();
-        // Idle clients arrive before discovery has responded.
+        // Idle clients take all descriptors before discovery has responded.
         idle.addAll(connectIdleClients(proxy.address));
         assertTrue(idle.get(0).isClosedByPeer());
         idle.addAll(connectIdleClients(proxy.address));
         HttpPeer watch =
-            sendEndpointList(fixture.discovery, ProxyFixture.endpointList(42, false, draining[0]));
+            sendEndpointList(
+                fixture.discovery, ProxyFixture.endpointList(42, false, drainingEntries[0]));
         assertForwardedTo(fixture.upstreams.get(1), "first", proxy.address);
-        // A new watch while the old connection is still open at discovery.
+        // The process needs a descriptor for a new watch, while idle clients take all of them.
         watch.reset();
         idle.addAll(connectIdleClients(proxy.address));
         sendEndpointList(
-            fixture.discovery, ProxyFixture.endpointList(43, false, up[0], draining[1]));
+            fixture.discovery,
+            ProxyFixture.endpointList(43, false, upEntries[0], drainingEntries[1]));
         assertForwardedTo(fixture.upstreams.get(0), "second", proxy.address);
-        proxy.reload(proxy.config.replace(fixture.discovery.address(), second.address()));
+        proxy.reload(proxy.config.replace(fixture.discovery.address(), secondDiscovery.address()));
         idle.addAll(connectIdleClients(proxy.address));
-        sendEndpointList(second, ProxyFixture.endpointList(7, true, draining[0], up[1]));
+        sendEndpointList(
+            secondDiscovery, ProxyFixture.endpointList(7, true, drainingEntries[0], upEntries[1]));
         assertForwardedTo(fixture.upstreams.get(1), "third", proxy.address);
       }
     } finally {
-      for (HttpPeer one : idle) {
-        one.close();
+      for (HttpPeer client : idle) {
+        client.close();
       }
     }
   }
--- a/src/test/java/loadbalancer/proxy/FullBacklogListener.java
+++ b/src/test/java/loadbalancer/proxy/FullBacklogListener.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A listening socket with a full backlog: further connection attempts hang. */
+/** A listening socket whose accept backlog is full, so that further connects hang. */
 public final class FullBacklogListener implements AutoCloseable {
 
   /** Long enough that Linux sends no SYN cookies, which make a client believe it is connected. */
@@ -16,12 +16,12 @@
 
   private final ServerSocket server =
       new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
-  private final List<SocketChannel> filling = new ArrayList<>();
+  private final List<SocketChannel> backlogConnections = new ArrayList<>();
 
   public FullBacklogListener() throws Exception {
-    // Linux accepts one connection more than the backlog.
+    // Linux admits one connection more than the backlog.
     for (int i = 0; i <= BACKLOG; i++) {
-      filling.add(SocketChannel.open(server.getLocalSocketAddress()));
+      backlogConnections.add(SocketChannel.open(server.getLocalSocketAddress()));
     }
   }
 
@@ -29,15 +29,17 @@
     return "127.0.0.1:" + server.getLocalPort();
   }
 
-  /** Accepts the connections that fill the backlog, and returns the next one. */
+  /**
+   * Empties the backlog, and returns the first connection that is not one of those that filled it.
+   */
   public HttpPeer acceptAfterBacklog() throws Exception {
-    List<Integer> fillingPorts = new ArrayList<>();
-    for (SocketChannel channel : filling) {
-      fillingPorts.add(((InetSocketAddress) channel.getLocalAddress()).getPort());
+    List<Integer> backlogPorts = new ArrayList<>();
+    for (SocketChannel channel : backlogConnections) {
+      backlogPorts.add(((InetSocketAddress) channel.getLocalAddress()).getPort());
     }
     server.setSoTimeout(HttpPeer.TIMEOUT_MILLIS);
     HttpPeer next = new HttpPeer(server.accept());
-    while (fillingPorts.contains(next.socket.getPort())) {
+    while (backlogPorts.contains(next.socket.getPort())) {
       next.close();
       next = new HttpPeer(server.accept());
     }
@@ -46,7 +48,7 @@
 
   @Override
   public void close() throws IOException {
-    for (SocketChannel channel : filling) {
+    for (SocketChannel channel : backlogConnections) {
       channel.close();
     }
     server.close();
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The command line, reload and graceful shutdown. */
+/** The exit statuses of the command line, the reload on SIGHUP, and graceful shutdown. */
 @Timeout(120)
 class GracefulShutdownTest {
 
-  private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n";
+  private static final String HEALTH_CHECK = "GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n";
 
   private static void assertExitsWithOneLine(int status, Path config, String... arguments)
       throws Exception {
-    Process process = ProxyProcess.startWith(config, arguments);
+    Process process = ProxyProcess.startProgram(config, arguments);
     try (BufferedReader error = process.errorReader()) {
       assertEquals(1, error.lines().filter(line -> !line.isBlank()).count());
     }
@@ -37,7 +37,7 @@
     assertExitsWithOneLine(1, Path.of("no-such-file"), "serve");
     Path file = Files.createTempFile("proxy", ".json");
     try (ProxyFixture fixture = new ProxyFixture()) {
-      for (String bad :
+      for (String invalidConfig :
           new String[] {
             "",
             "{",
@@ -49,7 +49,7 @@
             fixture.config().replace("\"up\"", "\"sideways\""),
             fixture.config().replace("127.0.0.1:0", fixture.discovery.address())
           }) {
-        Files.writeString(file, bad);
+        Files.writeString(file, invalidConfig);
         assertExitsWithOneLine(1, file, "serve");
       }
     } finally {
@@ -63,7 +63,7 @@
         ProxyProcess proxy = ProxyProcess.start(fixture)) {
       HttpPeer accepted = proxy.connect();
       HttpPeer idle = HttpPeer.connect(proxy.address);
-      idle.write(HEALTH);
+      idle.write(HEALTH_CHECK);
       assertEquals("keep-alive", idle.read().headers().getOrDefault("connection", "keep-alive"));
       accepted.write(ProxyFixture.idempotentRequest("accepted", "10"));
       HttpPeer upstream = fixture.upstreams.get(0).accept();
@@ -71,20 +71,20 @@
       proxy.process.destroy();
       // A second SIGTERM, and a reload during the shutdown, change nothing.
       proxy.process.destroy();
-      proxy.hangUp();
+      proxy.sendSighup();
       idle.write(ProxyFixture.idempotentRequest("reused", "10"));
-      HttpPeer second = fixture.upstreams.get(0).accept();
-      second.read();
-      // A new client, a request on an existing connection, and one accepted before the signal.
-      HttpPeer.Message late = null;
-      while (late == null || late.header("Connection") == null) {
-        // Responses carry "Connection: close" only in the closing phase.
+      HttpPeer secondUpstream = fixture.upstreams.get(0).accept();
+      secondUpstream.read();
+      // New clients, the request sent after the signal and the one sent before it are all served.
+      HttpPeer.Message healthResponse = null;
+      while (healthResponse == null || healthResponse.header("Connection") == null) {
+        // Only in the closing phase of the shutdown do responses carry "Connection: close".
         HttpPeer client = HttpPeer.connect(proxy.address);
-        client.write(HEALTH);
-        late = client.read();
-        assertEquals(200, late.status());
+        client.write(HEALTH_CHECK);
+        healthResponse = client.read();
+        assertEquals(200, healthResponse.status());
       }
-      second.write(ProxyFixture.okResponse("reused"));
+      secondUpstream.write(ProxyFixture.okResponse("reused"));
       HttpPeer.Message reused = idle.read();
       assertEquals("reused", reused.body());
       assertEquals("close", reused.header("Connection"));
@@ -98,12 +98,12 @@
   @Test
   void sighupReloadsTheConfigurationAndAnInvalidOneChangesNothing() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture();
-        ScriptedListener second = new ScriptedListener();
+        ScriptedListener secondDiscovery = new ScriptedListener();
         ProxyProcess proxy = ProxyProcess.start(fixture)) {
       HttpPeer client = proxy.connect();
       fixture.discovery.accept().read();
       proxy.reload("{");
-      // The warning shows that the file has been read.
+      // The warning shows that the process has read the invalid file.
       assertTrue(
           proxy
               .process
@@ -113,28 +113,29 @@
                   line ->
                       line.contains(
                           "configuration reload failed, keeping the current one: error=")));
-      proxy.reload(proxy.config.replace(fixture.discovery.address(), second.address()));
-      assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().startLine());
-      client.write(HEALTH);
+      proxy.reload(proxy.config.replace(fixture.discovery.address(), secondDiscovery.address()));
+      assertEquals("GET /catalog/members HTTP/1.1", secondDiscovery.accept().read().startLine());
+      client.write(HEALTH_CHECK);
       assertEquals(200, client.read().status());
     }
   }
 
   @Test
   void sighupIsHandledAlsoIfTheParentProcessIgnoresIt() throws Exception {
-    String run =
+    String runCommand =
         Files.readAllLines(Path.of("deploy", "balancer.toml")).stream()
             .filter(line -> line.startsWith("run = \""))
             .findFirst()
             .orElseThrow();
-    // Guards against a JVM that inherits an ignored SIGHUP: it would not install its handler.
-    String commandPrefix = run.substring(run.indexOf('"') + 1, run.indexOf("java "));
+    // Guards against a process that inherits an ignored SIGHUP: a JVM then installs no handler.
+    String commandPrefix =
+        runCommand.substring(runCommand.indexOf('"') + 1, runCommand.indexOf("java "));
     try (ProxyFixture fixture = new ProxyFixture();
-        ScriptedListener second = new ScriptedListener();
+        ScriptedListener secondDiscovery = new ScriptedListener();
         ProxyProcess proxy = ProxyProcess.startInShell(fixture, "trap '' HUP; " + commandPrefix)) {
       proxy.connect();
-      proxy.reload(proxy.config.replace(fixture.discovery.address(), second.address()));
-      assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().startLine());
+      proxy.reload(proxy.config.replace(fixture.discovery.address(), secondDiscovery.address()));
+      assertEquals("GET /catalog/members HTTP/1.1", secondDiscovery.accept().read().startLine());
     }
   }
 
@@ -151,14 +152,14 @@
                 }
               });
       HttpPeer client = fixture.connectClient();
-      client.write(HEALTH);
+      client.write(HEALTH_CHECK);
       client.read();
       shutdown.start();
-      // The shutdown has begun once its thread sleeps; responses still keep connections open.
+      // Once the thread sleeps, the shutdown has begun; responses still keep connections open.
       while (shutdown.getState() != Thread.State.TIMED_WAITING) {
         Thread.onSpinWait();
       }
-      client.write(HEALTH);
+      client.write(HEALTH_CHECK);
       assertEquals("keep-alive", client.read().headers().getOrDefault("connection", "keep-alive"));
       shutdown.join();
       assertTrue(client.isClosedByPeer());
@@ -188,26 +189,26 @@
               + ProxyFixture.idempotentRequest("3", "10"));
       HttpPeer upstream = fixture.upstreams.get(0).accept();
       upstream.read();
-      HttpPeer half = fixture.connectClient();
-      half.write("GET /look-up/7");
+      HttpPeer partialClient = fixture.connectClient();
+      partialClient.write("GET /look-up/7");
       fixture.server.onLoop(
           (frontend, upstreams) -> {
             fixture.server.forceShutdown();
             return null;
           });
       assertEquals(504, client.read().status());
-      // Pipelined requests were never sent, so they are rejected as safe to retry.
+      // Pipelined requests were not forwarded, so they are rejected and safe to retry.
       assertEquals(503, client.read().status());
       HttpPeer.Message last = client.read();
       assertEquals(503, last.status());
       assertEquals("close", last.header("Connection"));
       assertTrue(client.isClosedByPeer());
-      assertEquals(408, half.read().status());
-      assertTrue(half.isClosedByPeer());
-      // A connection opened after the end of the shutdown.
-      HttpPeer late = fixture.connectClient();
-      late.write(ProxyFixture.idempotentRequest("4", "10"));
-      assertEquals(503, late.read().status());
+      assertEquals(408, partialClient.read().status());
+      assertTrue(partialClient.isClosedByPeer());
+      // A connection opened after the forced shutdown.
+      HttpPeer lateClient = fixture.connectClient();
+      lateClient.write(ProxyFixture.idempotentRequest("4", "10"));
+      assertEquals(503, lateClient.read().status());
       assertEquals(0, fixture.upstreams.get(0).pendingConnections());
     }
   }
@@ -216,13 +217,13 @@
   void requestsUnreadInTheKernelAtTheEndOfAShutdownGetAResponse() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture().start()) {
       HttpPeer existing = fixture.connectClient();
-      existing.write(HEALTH);
+      existing.write(HEALTH_CHECK);
       existing.read();
       HttpPeer[] unread = {existing, null};
       fixture.server.onLoop(
           (frontend, upstreams) -> {
             try {
-              // The event loop reads neither before the end of the shutdown begins.
+              // The event loop, on which this runs, reads neither before the forced shutdown.
               existing.write(ProxyFixture.idempotentRequest("1", "10"));
               unread[1] = fixture.connectClient();
               unread[1].write(ProxyFixture.idempotentRequest("2", "10"));
@@ -258,10 +259,10 @@
   void connectionWithARequestInFlightIsNotClosed() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture().start()) {
       HttpPeer client = fixture.connectClient();
-      client.write(HEALTH);
+      client.write(HEALTH_CHECK);
       client.read();
       client.write(ProxyFixture.idempotentRequest("1", "10"));
-      // The request is unread in the kernel or in flight.
+      // Here the request is either unread in the kernel or in flight.
       assertFalse(fixture.server.closeIdleClientConnections());
       HttpPeer upstream = fixture.upstreams.get(0).accept();
       upstream.read();
--- a/src/test/java/loadbalancer/proxy/HttpPeer.java
+++ b/src/test/java/loadbalancer/proxy/HttpPeer.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One end of an HTTP/1.1 connection on a plain blocking socket. */
+/** The test's end of an HTTP/1.1 connection, on a blocking socket. */
 public final class HttpPeer implements AutoCloseable {
 
   /** A request or response; the header names are in lower case. */
@@ -25,6 +25,7 @@
     }
   }
 
+  /** How long a test waits for anything before it fails. */
   public static final int TIMEOUT_MILLIS = 20_000;
 
   public final Socket socket;
@@ -41,7 +42,7 @@
     return new HttpPeer(new Socket(InetAddress.getLoopbackAddress(), address.getPort()));
   }
 
-  /** Connects once the process serves. */
+  /** Connects to a process as soon as it accepts clients and answers a health check. */
   static HttpPeer connectWhenServing(InetSocketAddress address, Process process)
       throws IOException {
     while (true) {
@@ -49,12 +50,12 @@
         HttpPeer peer = connect(address);
         peer.write("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
         if (peer.read().status() != 200) {
-          throw new AssertionError("not healthy");
+          throw new AssertionError("the health check was not answered with status 200");
         }
         return peer;
       } catch (IOException e) {
         if (!process.isAlive()) {
-          throw new AssertionError("the process has ended", e);
+          throw new AssertionError("the process ended before it accepted clients", e);
         }
         Thread.onSpinWait();
       }
@@ -65,20 +66,20 @@
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** The next message, or null at the end of the stream. */
+  /** Reads the next message; null at the end of the stream. */
   public Message read() throws IOException {
-    String first = line();
-    if (first == null) {
+    String startLine = readLine();
+    if (startLine == null) {
       return null;
     }
     Map<String, String> headers = new TreeMap<>();
-    for (String line = line(); line != null && !line.isEmpty(); line = line()) {
+    for (String line = readLine(); line != null && !line.isEmpty(); line = readLine()) {
       int colon = line.indexOf(':');
       headers.put(
           line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).strip());
     }
     byte[] body = in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
-    return new Message(first, headers, new String(body, StandardCharsets.ISO_8859_1));
+    return new Message(startLine, headers, new String(body, StandardCharsets.ISO_8859_1));
   }
 
   /** The number of received bytes that are still unread. */
@@ -97,7 +98,8 @@
     }
   }
 
-  private String line() throws IOException {
+  /** Reads a line without its end; null at the end of the stream. */
+  private String readLine() throws IOException {
     StringBuilder line = new StringBuilder();
     for (int c = in.read(); c >= 0; c = in.read()) {
       if (c == '\n') {
--- a/src/test/java/loadbalancer/proxy/LateEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/LateEventLoopTest.java
@@ -28,13 +28,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** An event loop that is busy while events become ready in the kernel, in the order of arrival. */
+/** The event loop is busy while events become ready in the kernel, where they wait unread. */
 @Timeout(60)
 class LateEventLoopTest {
 
   private static final int BLOCKED_MILLIS = 300;
 
-  /** The clocks of the server and of the system differ by a millisecond at most. */
+  /** The server's clock and the system's clock differ by a millisecond at most. */
   private static final double CLOCK_TOLERANCE_MILLIS = 2;
 
   private interface Action {
@@ -54,7 +54,7 @@
         });
   }
 
-  /** Starts a server whose discovery watch has no response yet. */
+  /** Starts a server and returns its connection to discovery, with a watch not yet responded to. */
   private static HttpPeer startWatching(ProxyFixture fixture) throws Exception {
     fixture.policy.onStart = () -> fixture.policy.actions.watchEndpoints(true);
     fixture.start();
@@ -93,13 +93,13 @@
                         false,
                         ProxyFixture.endpointEntry(
                             0, fixture.upstreams.get(0).address(), "draining"))));
-            // Longer than a discovery response may stay unread.
+            // Longer than a discovery response may stay unread before it is read ahead of requests.
             TimeUnit.MILLISECONDS.sleep(BLOCKED_MILLIS);
           });
       assertEquals(
           1,
           ScriptedPolicy.takeNext(updatesAtRequest),
-          "the request was balanced over the outdated list");
+          "endpoint updates that the policy had handled before the request");
     }
   }
 
@@ -108,14 +108,14 @@
   void deadlineCountsTheTimeThatARequestOrItsConnectionWaitedUnread(boolean keepAlive)
       throws Exception {
     try (ProxyFixture fixture = new ProxyFixture().start()) {
-      HttpPeer known = connectAndCheckHealth(fixture);
+      HttpPeer keepAliveClient = connectAndCheckHealth(fixture);
       LinkedBlockingQueue<ClientRequest> requests = new LinkedBlockingQueue<>();
       fixture.policy.onRequest = requests::add;
       double[] writtenAt = new double[1];
       blockEventLoop(
           fixture,
           () -> {
-            HttpPeer client = keepAlive ? known : fixture.connectClient();
+            HttpPeer client = keepAlive ? keepAliveClient : fixture.connectClient();
             client.write(ProxyFixture.idempotentRequest("1", "10"));
             writtenAt[0] = fixture.server.now();
             TimeUnit.MILLISECONDS.sleep(BLOCKED_MILLIS);
@@ -123,7 +123,7 @@
       double deadline = ScriptedPolicy.takeNext(requests).deadlineMillis();
       assertTrue(
           deadline <= writtenAt[0] + 10_000 + CLOCK_TOLERANCE_MILLIS,
-          deadline - writtenAt[0] + " ms from when it was written");
+          deadline - writtenAt[0] + " ms from the writing of the request to its deadline");
     }
   }
 
@@ -135,9 +135,12 @@
       fixture.policy.onRequest = requests::add;
       blockEventLoop(fixture, () -> TimeUnit.MILLISECONDS.sleep(BLOCKED_MILLIS));
       client.write(ProxyFixture.idempotentRequest("1", "2"));
-      double written = fixture.server.now();
-      double reservedMillis = written + 2_000 - ScriptedPolicy.takeNext(requests).deadlineMillis();
-      assertTrue(reservedMillis >= BLOCKED_MILLIS - CLOCK_TOLERANCE_MILLIS, reservedMillis + " ms");
+      double writtenAt = fixture.server.now();
+      double reservedMillis =
+          writtenAt + 2_000 - ScriptedPolicy.takeNext(requests).deadlineMillis();
+      assertTrue(
+          reservedMillis >= BLOCKED_MILLIS - CLOCK_TOLERANCE_MILLIS,
+          reservedMillis + " ms reserved");
     }
   }
 
@@ -150,8 +153,8 @@
     "0.2, 10, 180",
     "0.2, 30, 170"
   })
-  void lateEventLoopLeavesMostOfTheDeadline(String remaining, double lateness, double left)
-      throws Exception {
+  void lateEventLoopLeavesMostOfTheDeadline(
+      String remainingSeconds, double latenessMillis, double millisLeft) throws Exception {
     try (ProxyFixture fixture = new ProxyFixture()) {
       RequestValidator validator =
           new RequestValidator(
@@ -161,8 +164,12 @@
                           fixture.config().getBytes(StandardCharsets.UTF_8)))));
       FullHttpRequest request =
           new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/look-up/7");
-      request.headers().set("X-Txn", "1").set("X-Lane", "look-up").set("X-Remaining", remaining);
-      assertEquals(left, validator.validate(request, 0, lateness).deadlineMillis());
+      request
+          .headers()
+          .set("X-Txn", "1")
+          .set("X-Lane", "look-up")
+          .set("X-Remaining", remainingSeconds);
+      assertEquals(millisLeft, validator.validate(request, 0, latenessMillis).deadlineMillis());
     }
   }
 
@@ -180,12 +187,12 @@
 
           @Override
           public void flush() {
-            // Nothing is buffered.
+            // Records are not buffered.
           }
 
           @Override
           public void close() {
-            // Nothing is open.
+            // There is nothing to close.
           }
         };
     ProxyLogger.LOGGER.addHandler(log);
@@ -205,34 +212,36 @@
   @Test
   void drainGracePeriodCountsTheTimeThatTheUpdateWaitedUnread() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture();
-        FullBacklogListener full = new FullBacklogListener()) {
+        FullBacklogListener fullListener = new FullBacklogListener()) {
       fixture.connectTimeoutMillis = 15_000;
-      // The update stays unread for longer than the part of the grace period that sending may use.
+      // The update stays unread until after the part of the grace period that sending may use.
       fixture.drainGraceMillis = BLOCKED_MILLIS;
       HttpPeer watch = startWatching(fixture);
       watch.write(
           ProxyFixture.okResponse(
               ProxyFixture.endpointList(
-                  42, true, ProxyFixture.endpointEntry(9, full.address(), "up"))));
+                  42, true, ProxyFixture.endpointEntry(9, fullListener.address(), "up"))));
       assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(fixture.policy.updates));
       watch.read();
       HttpPeer client = connectAndCheckHealth(fixture);
       client.write(ProxyFixture.atMostOnceRequest("1", "x"));
       connectAndCheckHealth(fixture);
-      HttpPeer[] late = new HttpPeer[1];
+      HttpPeer[] lateConnection = new HttpPeer[1];
       blockEventLoop(
           fixture,
           () -> {
             watch.write(
                 ProxyFixture.okResponse(
                     ProxyFixture.endpointList(
-                        43, false, ProxyFixture.endpointEntry(9, full.address(), "draining"))));
-            late[0] = full.acceptAfterBacklog();
+                        43,
+                        false,
+                        ProxyFixture.endpointEntry(9, fullListener.address(), "draining"))));
+            lateConnection[0] = fullListener.acceptAfterBacklog();
             TimeUnit.MILLISECONDS.sleep(BLOCKED_MILLIS);
           });
-      assertTrue(late[0].isClosedByPeer(), "the request was sent after the grace period");
+      assertTrue(lateConnection[0].isClosedByPeer(), "the request was sent after the grace period");
       assertEquals(AttemptOutcome.CONNECT_FAILED, fixture.policy.nextOutcome());
-      late[0].close();
+      lateConnection[0].close();
     }
   }
 }
--- a/src/test/java/loadbalancer/proxy/ProcessLogTest.java
+++ b/src/test/java/loadbalancer/proxy/ProcessLogTest.java
@@ -9,11 +9,14 @@
 import loadbalancer.proxy.logging.ProxyLogger;
 import org.junit.jupiter.api.Test;
 
-/** Guards against a renamed logger that escapes the rate limit: filters are not inherited. */
+/**
+ * The process's log lines are rate-limited. Guards against a logger of another name whose lines
+ * escape the limit: a logger does not inherit the filter of its parent.
+ */
 class ProcessLogTest {
 
   @Test
-  void theRateLimitIsSetOnTheLoggerOfTheProcess() throws Exception {
+  void rateLimitIsSetOnTheLoggerThatTheProcessUses() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture().start()) {
       assertEquals("loadbalancer", ProxyLogger.LOGGER.getName());
       assertSame(Logger.getLogger("loadbalancer"), ProxyLogger.LOGGER);
--- a/src/test/java/loadbalancer/proxy/ProxyFixture.java
+++ b/src/test/java/loadbalancer/proxy/ProxyFixture.java
@@ -11,7 +11,9 @@
 import loadbalancer.policy.PolicyActions;
 import loadbalancer.proxy.config.ProxyConfig;
 
-/** A proxy on a loopback address whose upstreams and discovery are played by the test. */
+/**
+ * A load balancer on a loopback address; the test plays its upstreams and its discovery service.
+ */
 public final class ProxyFixture implements AutoCloseable {
 
   public final ScriptedPolicy policy = new ScriptedPolicy();
@@ -19,41 +21,43 @@
   public final List<ScriptedListener> upstreams = new ArrayList<>();
   private final List<HttpPeer> clients = new ArrayList<>();
 
-  // Settings that a test may change before it starts the proxy.
+  // Settings that a test may change before it starts the load balancer.
   public int maxDescriptors = 1_024;
 
   public int connectTimeoutMillis = 3_000;
   public int drainGraceMillis = 2_000;
 
-  /** How many of the first upstreams are in the proxy's zone; others differ in machine type too. */
+  /**
+   * How many upstreams, from the first, are in the own zone; the others' machine type differs too.
+   */
   int endpointsInOwnZone = Integer.MAX_VALUE;
 
-  /** How many of the first upstreams are in the configured endpoint list. */
-  public int knownEndpoints = Integer.MAX_VALUE;
+  /** How many upstreams, from the first, are in the endpoint list of the configuration. */
+  public int configuredEndpoints = Integer.MAX_VALUE;
 
   public int pollIntervalMillis = 1_000;
   public int maxAttempts = 4;
 
-  /** The tier of the proxy; clients connect to the first, 0. */
+  /** The tier of the load balancer; clients connect to tier 0. */
   int tier;
 
-  /** The registry mode; with "subscribe" the policy has to ask for updates. */
+  /** The registry mode; with "subscribe" the policy has to ask for endpoint list updates. */
   public String registryMode = "subscribe";
 
-  /** How long the proxy waits for the first endpoint list before it accepts clients. */
+  /** How long the start waits for the first endpoint list before clients are accepted. */
   public long firstEndpointListTimeoutMillis = ProxyServer.FIRST_ENDPOINT_LIST_TIMEOUT_MILLIS;
 
-  /** How long an upstream connection stays unused between requests; 0 lets a test reuse one. */
-  public double settleMillis;
+  /** For how long after a response an upstream connection is not reused; 0 allows reuse at once. */
+  public double reuseDelayMillis;
 
-  /** Further changes of the configuration. */
+  /** Changes the text of the configuration file before the start. */
   public UnaryOperator<String> configEdit = config -> config;
 
   /** The seed of the policy, in hexadecimal. */
   public String seed = "8c1f30d27a5be964";
 
-  /** The latency objective of the at-most-once class. */
-  String aim = "\"aim\":1500.0";
+  /** The latency objective of the at-most-once class, as a member of the JSON configuration. */
+  String latencyObjectiveMember = "\"aim\":1500.0";
 
   public ProxyServer server;
 
@@ -61,13 +65,13 @@
     this(1);
   }
 
-  public ProxyFixture(int count) throws IOException {
-    for (int i = 0; i < count; i++) {
+  public ProxyFixture(int upstreamCount) throws IOException {
+    for (int i = 0; i < upstreamCount; i++) {
       upstreams.add(new ScriptedListener());
     }
   }
 
-  /** Starts the proxy with the scripted policy. */
+  /** Starts the load balancer with {@link #policy}. */
   public ProxyFixture start() throws Exception {
     return start(policy::attach);
   }
@@ -82,7 +86,7 @@
               ProxyConfig.read(file.toString()), policyFactory, firstEndpointListTimeoutMillis);
       server.onLoop(
           (frontend, upstreams) -> {
-            upstreams.useOptions(upstreams.options().withReuseDelayMillis(settleMillis));
+            upstreams.useOptions(upstreams.options().withReuseDelayMillis(reuseDelayMillis));
             return null;
           });
       server.serve();
@@ -105,7 +109,7 @@
   }
 
   public String config() {
-    String[] entries = new String[Math.min(knownEndpoints, upstreams.size())];
+    String[] entries = new String[Math.min(configuredEndpoints, upstreams.size())];
     for (int i = 0; i < entries.length; i++) {
       entries[i] = endpointEntry(i, upstreams.get(i).address(), "up");
       if (i >= endpointsInOwnZone) {
@@ -148,7 +152,7 @@
             connectTimeoutMillis,
             drainGraceMillis,
             pollIntervalMillis)
-        .replace("\"aim\":1500.0", aim);
+        .replace("\"aim\":1500.0", latencyObjectiveMember);
   }
 
   /** Opens a client connection, which the fixture closes. */
@@ -158,16 +162,16 @@
     return client;
   }
 
-  /** A request of the idempotent class. */
-  public static String idempotentRequest(String id, String remaining) {
+  /** A request of the idempotent class; {@code remainingSeconds} is its remaining time. */
+  public static String idempotentRequest(String id, String remainingSeconds) {
     return "GET /look-up/7?z=3 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: "
         + id
         + "\r\nX-Lane: look-up\r\nX-Remaining: "
-        + remaining
+        + remainingSeconds
         + "\r\n\r\n";
   }
 
-  /** A request of the at-most-once class. */
+  /** A request of the at-most-once class; its remaining time is 10 s. */
   public static String atMostOnceRequest(String id, String body) {
     return "POST /credit-spend HTTP/1.1\r\nHost: app.svc\r\nX-Txn: "
         + id
@@ -181,7 +185,9 @@
     return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
   }
 
-  /** Asserts that a request gets its response. */
+  /**
+   * Asserts that a new client's request is forwarded to the first upstream and gets its response.
+   */
   public void assertStillServes() throws Exception {
     HttpPeer client = connectClient();
     client.write(idempotentRequest("still", "10"));
@@ -190,7 +196,7 @@
     upstream.write(okResponse("well"));
     HttpPeer.Message response = client.read();
     if (response == null || response.status() != 200 || !response.body().equals("well")) {
-      throw new AssertionError("not served: " + response);
+      throw new AssertionError("the request was not served; response: " + response);
     }
   }
 
--- a/src/test/java/loadbalancer/proxy/ProxyProcess.java
+++ b/src/test/java/loadbalancer/proxy/ProxyProcess.java
@@ -9,45 +9,45 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A process that serves, and its configuration file; closing this ends and deletes them. */
+/** A load balancer process with its configuration file; close() kills it and deletes the file. */
 final class ProxyProcess implements AutoCloseable {
 
   private static final String JAVA =
       Path.of(System.getProperty("java.home"), "bin", "java").toString();
-  private static final String CLASSES = System.getProperty("java.class.path");
+  private static final String CLASS_PATH = System.getProperty("java.class.path");
 
   final Process process;
   final InetSocketAddress address;
 
-  /** The configuration at its start. */
+  /** The configuration with which the process started. */
   final String config;
 
-  private final Path file;
+  private final Path configFile;
 
   private ProxyProcess(ProxyFixture fixture, ProcessBuilder command) throws IOException {
     address = freeAddress();
     config = fixture.config().replace("127.0.0.1:0", "127.0.0.1:" + address.getPort());
-    file = Files.createTempFile("proxy", ".json");
-    Files.writeString(file, config);
-    command.environment().put("PROXY_CONFIG", file.toString());
+    configFile = Files.createTempFile("proxy", ".json");
+    Files.writeString(configFile, config);
+    command.environment().put("PROXY_CONFIG", configFile.toString());
     process = command.redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
   }
 
   private static InetSocketAddress freeAddress() throws IOException {
-    try (ServerSocket free = new ServerSocket(0)) {
-      return new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
+    try (ServerSocket anyPort = new ServerSocket(0)) {
+      return new InetSocketAddress(InetAddress.getLoopbackAddress(), anyPort.getLocalPort());
     }
   }
 
-  /** Starts the process with the upstreams and discovery of the fixture and the JVM flags. */
-  static ProxyProcess start(ProxyFixture fixture, String... flags) throws IOException {
+  /** Starts a process with the fixture's configuration and the given JVM flags. */
+  static ProxyProcess start(ProxyFixture fixture, String... jvmFlags) throws IOException {
     List<String> command = new ArrayList<>(List.of(JAVA));
-    command.addAll(List.of(flags));
-    command.addAll(List.of("-cp", CLASSES, Main.class.getName(), "serve"));
+    command.addAll(List.of(jvmFlags));
+    command.addAll(List.of("-cp", CLASS_PATH, Main.class.getName(), "serve"));
     return new ProxyProcess(fixture, new ProcessBuilder(command));
   }
 
-  /** Starts it from a shell that runs {@code commandPrefix} first; its output is not read. */
+  /** Starts a process through a shell; {@code commandPrefix} precedes the path of {@code java}. */
   static ProxyProcess startInShell(ProxyFixture fixture, String commandPrefix) throws IOException {
     ProcessBuilder command =
         new ProcessBuilder(
@@ -56,16 +56,16 @@
             commandPrefix
                 + " \""
                 + JAVA
-                + "\" -cp \"$CLASSES\" "
+                + "\" -cp \"$CLASS_PATH\" "
                 + Main.class.getName()
                 + " serve");
-    command.environment().put("CLASSES", CLASSES);
+    command.environment().put("CLASS_PATH", CLASS_PATH);
     return new ProxyProcess(fixture, command.redirectErrorStream(true));
   }
 
-  /** Starts the command line; {@code config} is its configuration file, null for none. */
-  static Process startWith(Path config, String... arguments) throws IOException {
-    List<String> command = new ArrayList<>(List.of(JAVA, "-cp", CLASSES, Main.class.getName()));
+  /** Runs the program; {@code config} is its configuration file, null for none. */
+  static Process startProgram(Path config, String... arguments) throws IOException {
+    List<String> command = new ArrayList<>(List.of(JAVA, "-cp", CLASS_PATH, Main.class.getName()));
     command.addAll(List.of(arguments));
     ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().remove("PROXY_CONFIG");
@@ -75,28 +75,28 @@
     return builder.redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
   }
 
-  /** Connects once the process serves. */
+  /** Connects as soon as the process accepts clients. */
   HttpPeer connect() throws IOException {
     return HttpPeer.connectWhenServing(address, process);
   }
 
   /** Replaces the configuration file and sends SIGHUP. */
-  void reload(String changed) throws IOException, InterruptedException {
-    Files.writeString(file, changed);
-    hangUp();
+  void reload(String newConfig) throws IOException, InterruptedException {
+    Files.writeString(configFile, newConfig);
+    sendSighup();
   }
 
-  void hangUp() throws IOException, InterruptedException {
-    String id = Long.toString(process.pid());
-    int status = new ProcessBuilder("kill", "-HUP", id).start().waitFor();
+  void sendSighup() throws IOException, InterruptedException {
+    String pid = Long.toString(process.pid());
+    int status = new ProcessBuilder("kill", "-HUP", pid).start().waitFor();
     if (status != 0) {
-      throw new AssertionError("SIGHUP could not be sent: " + status);
+      throw new AssertionError("kill -HUP failed with exit status " + status);
     }
   }
 
   @Override
   public void close() throws IOException {
     process.destroyForcibly();
-    Files.delete(file);
+    Files.delete(configFile);
   }
 }
--- a/src/test/java/loadbalancer/proxy/ScriptedListener.java
+++ b/src/test/java/loadbalancer/proxy/ScriptedListener.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A listening socket whose accepted connections are handed to the test. */
+/** A listening socket that passes the connections it accepts to the test. */
 public final class ScriptedListener implements AutoCloseable {
 
   private final ServerSocket server;
-  private final java.net.Socket boundPort = new java.net.Socket();
+  private final java.net.Socket portHolder = new java.net.Socket();
   private final LinkedBlockingQueue<HttpPeer> accepted = new LinkedBlockingQueue<>();
   private final Thread acceptor;
 
@@ -34,7 +34,7 @@
                   accepted.add(new HttpPeer(server.accept()));
                 }
               } catch (IOException e) {
-                // The test is over.
+                // The listener has been closed.
               }
             });
     acceptor.setDaemon(true);
@@ -45,21 +45,25 @@
     return "127.0.0.1:" + server.getLocalPort();
   }
 
-  /** The next connection; fails the test if none comes. */
+  /** Returns the next accepted connection; fails the test if none is accepted in time. */
   public HttpPeer accept() throws InterruptedException {
     HttpPeer peer = accepted.poll(HttpPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     if (peer == null) {
-      throw new AssertionError("no connection was accepted");
+      throw new AssertionError(
+          "no connection was accepted within " + HttpPeer.TIMEOUT_MILLIS + " ms");
     }
     return peer;
   }
 
-  /** The number of accepted connections that the test has not taken yet. */
+  /** The number of accepted connections that {@link #accept} has not returned yet. */
   public int pendingConnections() {
     return accepted.size();
   }
 
-  /** Keeps the port bound: a client could otherwise be assigned it and connect to itself. */
+  /**
+   * Stops listening but keeps the port bound: it could otherwise become the local port of a client
+   * that connects to it, and that client would be connected to itself.
+   */
   @Override
   public void close() throws IOException {
     server.close();
@@ -70,10 +74,10 @@
       Thread.currentThread().interrupt();
     }
     try {
-      boundPort.setReuseAddress(true);
-      boundPort.bind(server.getLocalSocketAddress());
+      portHolder.setReuseAddress(true);
+      portHolder.bind(server.getLocalSocketAddress());
     } catch (IOException e) {
-      // Closed before, or the port is in use already.
+      // This listener was closed before, or another socket has bound the port already.
     }
   }
 }
--- a/src/test/java/loadbalancer/proxy/ScriptedPolicy.java
+++ b/src/test/java/loadbalancer/proxy/ScriptedPolicy.java
@@ -14,7 +14,7 @@
 import loadbalancer.policy.LoadBalancingPolicy;
 import loadbalancer.policy.PolicyActions;
 
-/** A policy whose reactions the test sets, and which records its events. */
+/** A policy whose reactions to events are set by the test, and which records some events. */
 public final class ScriptedPolicy implements LoadBalancingPolicy {
 
   public PolicyActions actions;
@@ -25,18 +25,22 @@
 
   public volatile Consumer<AttemptResult> onResult = result -> {};
 
-  /** The reaction to a result that leaves its request open; by default the request fails. */
+  /** The reaction to the result of a request that has no response yet; by default it fails. */
   public volatile BiConsumer<PolicyActions, AttemptResult> onUnansweredResult =
       (actions, result) -> actions.failRequest(result.requestId());
 
   /** The reaction to an endpoint update; none by default. */
-  public volatile Consumer<EndpointUpdateType> onUpdate = change -> {};
+  public volatile Consumer<EndpointUpdateType> onUpdate = type -> {};
 
   public volatile Runnable onTimer = () -> {};
   public volatile Runnable onStart = () -> {};
   public final LinkedBlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
   public final LinkedBlockingQueue<EndpointUpdateType> updates = new LinkedBlockingQueue<>();
+
+  /** The ids of requests whose client has disconnected. */
   public final LinkedBlockingQueue<Long> disconnected = new LinkedBlockingQueue<>();
+
+  /** Ended health checks, each as its outcome and load report. */
   public final LinkedBlockingQueue<String> healthChecks = new LinkedBlockingQueue<>();
 
   LoadBalancingPolicy attach(PolicyActions policyActions) {
@@ -44,19 +48,21 @@
     return this;
   }
 
-  /** Sends a request to an upstream by its index in the endpoint list. */
-  public void sendTo(int index, ClientRequest request, double timeout) {
-    actions.sendAttempt(request.id(), endpoints.get(index).id(), timeout);
+  /** Sends an attempt to the upstream with this index; a timeout of 0 stands for the deadline. */
+  public void sendTo(int upstreamIndex, ClientRequest request, double timeoutMillis) {
+    actions.sendAttempt(request.id(), endpoints.get(upstreamIndex).id(), timeoutMillis);
   }
 
+  /** Takes the next recorded item; fails the test if none is recorded in time. */
   public static <T> T takeNext(LinkedBlockingQueue<T> queue) throws InterruptedException {
     T item = queue.poll(HttpPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     if (item == null) {
-      throw new AssertionError("nothing was queued");
+      throw new AssertionError("nothing was recorded within " + HttpPeer.TIMEOUT_MILLIS + " ms");
     }
     return item;
   }
 
+  /** The outcome of the next attempt to end. */
   public AttemptOutcome nextOutcome() throws InterruptedException {
     return takeNext(results).outcome();
   }
@@ -67,12 +73,12 @@
   }
 
   @Override
-  public void endpointsChanged(double now, EndpointUpdateType change, List<Endpoint> list) {
-    if (change == EndpointUpdateType.CACHED || change == EndpointUpdateType.FULL) {
-      endpoints = list;
+  public void endpointsChanged(double now, EndpointUpdateType type, List<Endpoint> newEndpoints) {
+    if (type == EndpointUpdateType.CACHED || type == EndpointUpdateType.FULL) {
+      endpoints = newEndpoints;
     }
-    updates.add(change);
-    onUpdate.accept(change);
+    updates.add(type);
+    onUpdate.accept(type);
   }
 
   @Override
@@ -90,8 +96,8 @@
   }
 
   @Override
-  public void responseStarted(double now, long requestId, int attempt, double elapsed) {
-    throw new AssertionError("no response is streamed");
+  public void responseStarted(double now, long requestId, int attemptNumber, double elapsedMillis) {
+    throw new AssertionError("responseStarted was called, but no request class here is streamed");
   }
 
   @Override
@@ -106,7 +112,11 @@
 
   @Override
   public void healthCheckCompleted(
-      double now, long upstream, AttemptOutcome result, double elapsed, double[] report) {
-    healthChecks.add(result + " " + java.util.Arrays.toString(report));
+      double now,
+      long endpointId,
+      AttemptOutcome outcome,
+      double elapsedMillis,
+      double[] loadReport) {
+    healthChecks.add(outcome + " " + java.util.Arrays.toString(loadReport));
   }
 }
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -13,17 +13,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The cost of a start, in counts that do not depend on the load of the machine. */
+/** The cost of a start, in numbers of classes, which the load of the machine does not change. */
 @Timeout(120)
 class StartupTest {
 
-  /** Guards against loading Jackson's object mapper, which needs several hundred classes. */
+  /** Guards against the use of Jackson's object mapper, which loads several hundred classes. */
   private static final int MAX_JACKSON_CLASSES = 150;
 
-  /** All classes loaded without a class archive, the JDK's own included. */
+  /** Limit on all classes loaded without a class archive, those of the JDK included. */
   private static final int MAX_CLASSES = 2_500;
 
-  /** The names of the classes that a process has loaded once it serves. */
+  /** The names of the classes that a process has loaded when it accepts clients. */
   private static List<String> classesLoadedAtStart() throws Exception {
     Path log = Files.createTempFile("classes", ".log");
     try (ProxyFixture fixture = new ProxyFixture(2);
@@ -52,23 +52,25 @@
     assertTrue(classes.contains(Main.class.getName()), "the log does not list loaded classes");
     assertEquals(
         List.of(), classes.stream().filter(name -> name.endsWith(".ObjectMapper")).toList());
-    long jackson =
+    long jacksonClasses =
         classes.stream().filter(name -> name.startsWith("com.fasterxml.jackson.")).count();
-    assertTrue(jackson <= MAX_JACKSON_CLASSES, jackson + " classes of Jackson");
-    assertTrue(classes.size() <= MAX_CLASSES, classes.size() + " classes");
+    assertTrue(
+        jacksonClasses <= MAX_JACKSON_CLASSES, jacksonClasses + " classes of Jackson loaded");
+    assertTrue(classes.size() <= MAX_CLASSES, classes.size() + " classes loaded");
   }
 
-  /** A process that writes half of its archive and handles SIGTERM by {@code atTerm}. */
-  private static Process startArchiveWriter(Path part, String atTerm) throws IOException {
+  /** Starts a process that has half of its archive written; SIGTERM runs {@code onSigterm}. */
+  private static Process startArchiveWriter(Path partialArchive, String onSigterm)
+      throws IOException {
     Process process =
         new ProcessBuilder(
                 "/bin/sh",
                 "-c",
                 "trap '"
-                    + atTerm
+                    + onSigterm
                     + "' TERM; "
                     + "printf half > \"$0\"; echo; while :; do read -r line; done",
-                part.toString())
+                partialArchive.toString())
             .start();
     assertEquals('\n', process.getInputStream().read());
     return process;
@@ -77,22 +79,23 @@
   @Test
   void incompleteClassArchiveIsDiscarded() throws Exception {
     Path folder = Files.createTempDirectory("archive");
-    Path part = folder.resolve("classes.part");
+    Path partialArchive = folder.resolve("classes.part");
     Path archive = folder.resolve("classes");
-    Process stuck = startArchiveWriter(part, ":");
+    Process stuck = startArchiveWriter(partialArchive, ":");
     try {
-      ClassArchiveRecorder.keep(stuck, part, archive, Duration.ofMillis(1));
+      ClassArchiveRecorder.endAndKeepArchive(stuck, partialArchive, archive, Duration.ofMillis(1));
       assertFalse(stuck.isAlive());
       assertFalse(Files.exists(archive));
-      assertFalse(Files.exists(part));
+      assertFalse(Files.exists(partialArchive));
     } finally {
       stuck.destroyForcibly();
     }
-    Process ending = startArchiveWriter(part, "printf whole >> \"$0\"; exit 143");
+    Process ending = startArchiveWriter(partialArchive, "printf whole >> \"$0\"; exit 143");
     try {
-      ClassArchiveRecorder.keep(ending, part, archive, Duration.ofMillis(HttpPeer.TIMEOUT_MILLIS));
+      ClassArchiveRecorder.endAndKeepArchive(
+          ending, partialArchive, archive, Duration.ofMillis(HttpPeer.TIMEOUT_MILLIS));
       assertEquals("halfwhole", Files.readString(archive));
-      assertFalse(Files.exists(part));
+      assertFalse(Files.exists(partialArchive));
     } finally {
       ending.destroyForcibly();
     }
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -255,7 +255,7 @@
     void watchIsRestartedWhenTheListedEndpointsAreUnreachable() throws Exception {
       try (ProxyFixture two = new ProxyFixture(2)) {
         two.upstreams.get(0).close();
-        two.knownEndpoints = 1;
+        two.configuredEndpoints = 1;
         two.pollIntervalMillis = 0;
         two.maxAttempts = 3;
         two.start(LatencyWeightedPolicy::new);
--- a/src/test/java/loadbalancer/proxy/upstream/ConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/ConnectionPoolTest.java
@@ -40,7 +40,7 @@
   @Test
   void reusesAConnectionOnceTheReuseDelayHasPassed() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture()) {
-      proxy.settleMillis = 1e9;
+      proxy.reuseDelayMillis = 1e9;
       proxy.start();
       HttpPeer client = proxy.connectClient();
       HttpPeer[] both = new HttpPeer[2];
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamResponseTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamResponseTest.java
@@ -199,7 +199,7 @@
   @Test
   void lateDuplicateResponseIsNotTheNextResponse() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture()) {
-      proxy.settleMillis = HttpPeer.TIMEOUT_MILLIS;
+      proxy.reuseDelayMillis = HttpPeer.TIMEOUT_MILLIS;
       proxy.start();
       HttpPeer client = proxy.connectClient();
       client.write(ProxyFixture.idempotentRequest("1", "10"));
