--- a/src/main/java/loadbalancer/settings/SettingsParser.java
+++ b/src/main/java/loadbalancer/settings/SettingsParser.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.TreeSet;
 import java.util.function.Function;
 import loadbalancer.model.CostSettings;
 import loadbalancer.model.DeduplicationScope;
@@ -268,7 +269,7 @@
 
   private void requireOneOf(String key, Set<String> accepted) {
     if (!accepted.contains(text(key))) {
-      throw invalid(key);
+      throw invalid(key, "one of " + new TreeSet<>(accepted));
     }
   }
 
@@ -290,7 +291,7 @@
     } catch (NumberFormatException e) {
       // Reported below, as is a value that is not finite.
     }
-    throw invalid(key);
+    throw invalid(key, "a finite number");
   }
 
   private double number(String key, double fallback) {
@@ -301,7 +302,7 @@
     try {
       return Integer.parseInt(text(key));
     } catch (NumberFormatException e) {
-      throw invalid(key);
+      throw invalid(key, "a 32-bit integer");
     }
   }
 
@@ -316,7 +317,7 @@
   private <T> T choice(String key, Map<String, T> choices) {
     T value = choices.get(text(key));
     if (value == null) {
-      throw invalid(key);
+      throw invalid(key, "one of " + new TreeSet<>(choices.keySet()));
     }
     return value;
   }
@@ -339,7 +340,7 @@
       try {
         indices.add(Integer.parseUnsignedInt(index));
       } catch (NumberFormatException e) {
-        throw invalid(key);
+        throw invalid(key, "non-negative integers separated by commas");
       }
     }
     return List.copyOf(indices);
@@ -350,7 +351,7 @@
     // A configuration without tenants has no tenants.count either.
     int count = values.containsKey(listKey + ".count") ? integer(listKey + ".count") : 0;
     if (count < 0 || count > MAX_LIST_ITEMS) {
-      throw invalid(listKey + ".count");
+      throw invalid(listKey + ".count", "an integer from 0 to " + MAX_LIST_ITEMS);
     }
     List<T> items = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -359,8 +360,8 @@
     return List.copyOf(items);
   }
 
-  private MalformedInputException invalid(String key) {
+  private MalformedInputException invalid(String key, String expected) {
     return new MalformedInputException(
-        "setting " + key + " has the invalid value '" + text(key) + "'");
+        "setting " + key + " has the invalid value '" + text(key) + "', expected " + expected);
   }
 }
--- a/src/main/java/loadbalancer/simulation/ActionCode.java
+++ b/src/main/java/loadbalancer/simulation/ActionCode.java
@@ -1,7 +1,7 @@
 package loadbalancer.simulation;
 
 /**
- * The kinds of records in a reply. All but {@link #FAULT} stand for the method of {@link
+ * The kinds of records in a reply. All but {@link #FAULT} correspond to the method of {@link
  * loadbalancer.policy.PolicyActions} with the same name.
  */
 enum ActionCode {
@@ -25,7 +25,7 @@
     this.code = (byte) code;
   }
 
-  /** Returns the code that stands for this kind in the simulator's protocol. */
+  /** Returns the code of this kind in the simulator's protocol. */
   byte code() {
     return code;
   }
--- a/src/main/java/loadbalancer/simulation/EndpointLists.java
+++ b/src/main/java/loadbalancer/simulation/EndpointLists.java
@@ -82,7 +82,12 @@
     int stateCode = body.unsignedByte(offset + ENTRY_STATE);
     if (stateCode >= STATES.length) {
       throw new MalformedInputException(
-          "endpoint list entry " + index + ": unknown state code " + stateCode);
+          "endpoint list entry "
+              + index
+              + ": unknown state code "
+              + stateCode
+              + ", the highest is "
+              + (STATES.length - 1));
     }
     float capacityHint = body.rawFloat(offset + ENTRY_CAPACITY_HINT);
     if (!Float.isFinite(capacityHint)) {
--- a/src/main/java/loadbalancer/simulation/EventCode.java
+++ b/src/main/java/loadbalancer/simulation/EventCode.java
@@ -33,13 +33,14 @@
   private static final EventCode[] BY_CODE = values();
 
   /**
-   * Returns the kind of record that a code stands for.
+   * Returns the kind of record that has a code.
    *
    * @throws MalformedInputException if no kind has this code
    */
   static EventCode fromCode(int code) {
     if (code >= BY_CODE.length) {
-      throw new MalformedInputException("unknown event code " + code);
+      throw new MalformedInputException(
+          "unknown event code " + code + ", the highest is " + (BY_CODE.length - 1));
     }
     return BY_CODE[code];
   }
--- a/src/main/java/loadbalancer/simulation/EventDecoder.java
+++ b/src/main/java/loadbalancer/simulation/EventDecoder.java
@@ -91,7 +91,11 @@
   private Runnable endpointsChanged(int recordOffset, LoadBalancingPolicy policy) {
     int updateTypeCode = body.unsignedByte(recordOffset + UPDATE_TYPE);
     if (updateTypeCode >= UPDATE_TYPES.length) {
-      throw new MalformedInputException("unknown endpoint update type " + updateTypeCode);
+      throw new MalformedInputException(
+          "unknown endpoint update type "
+              + updateTypeCode
+              + ", the highest is "
+              + (UPDATE_TYPES.length - 1));
     }
     EndpointUpdateType updateType = UPDATE_TYPES[updateTypeCode];
     List<Endpoint> endpoints =
@@ -110,12 +114,22 @@
   private ClientRequest readRequest(int recordOffset, PolicySettings settings) {
     int requestClass = body.unsignedByte(recordOffset + REQUEST_CLASS);
     if (requestClass >= settings.requestClasses().size()) {
-      throw new MalformedInputException("unknown request class " + requestClass);
+      throw new MalformedInputException(
+          "unknown request class "
+              + requestClass
+              + ", the settings have "
+              + settings.requestClasses().size()
+              + " request classes");
     }
     int tenant = body.unsignedShort(recordOffset + REQUEST_TENANT);
     // Tenant 0 is also that of all requests if the settings name no tenants.
     if (tenant > 0 && tenant >= settings.tenants().size()) {
-      throw new MalformedInputException("unknown tenant " + tenant);
+      throw new MalformedInputException(
+          "unknown tenant "
+              + tenant
+              + ", the settings have "
+              + settings.tenants().size()
+              + " tenants");
     }
     int flags = body.unsignedByte(recordOffset + REQUEST_FLAGS);
     double costEstimate =
--- a/src/main/java/loadbalancer/simulation/SimulationHost.java
+++ b/src/main/java/loadbalancer/simulation/SimulationHost.java
@@ -23,8 +23,8 @@
   static final int RECORD_BYTES = 48;
 
   /**
-   * The largest accepted body of a frame. A greater length is a sign of a corrupt stream; besides,
-   * a Java array cannot hold much more.
+   * The largest accepted body of a frame. A greater length is a sign of a corrupt stream; also, a
+   * Java array cannot hold much more.
    */
   private static final long MAX_BODY_BYTES = 1L << 29;
 
--- a/src/test/java/loadbalancer/settings/SettingsParserTest.java
+++ b/src/test/java/loadbalancer/settings/SettingsParserTest.java
@@ -225,7 +225,7 @@
   @Test
   void invalidPlacementIsReportedWithItsKey() {
     assertRejected(
-        "services.0.runsIn has the invalid value",
+        "services.0.runsIn has the invalid value '0,north', expected non-negative integers",
         REQUIRED_SETTINGS + "services.0.runsIn=0,north\n");
     assertRejected(
         "services.1.boundTo has the invalid value", REQUIRED_SETTINGS + "services.1.boundTo=-1\n");
@@ -250,17 +250,18 @@
   @Test
   void invalidValueIsReportedWithItsKey() {
     assertRejected(
-        "rules.warmUp has the invalid value",
+        "rules.warmUp has the invalid value 'soon', expected a finite number",
         REQUIRED_SETTINGS.replace("warmUp=9000.0", "warmUp=soon"));
     assertRejected(
-        "rules.warmUp has the invalid value",
+        "rules.warmUp has the invalid value 'NaN', expected a finite number",
         REQUIRED_SETTINGS.replace("warmUp=9000.0", "warmUp=NaN"));
     assertRejected(
-        "services.0.idempotency has the invalid value",
+        "services.0.idempotency has the invalid value 'maybe',"
+            + " expected one of [at_most_once, deduplicated, idempotent]",
         REQUIRED_SETTINGS.replace(
             "services.0.idempotency=idempotent", "services.0.idempotency=maybe"));
     assertRejected(
-        "services.count has the invalid value",
+        "services.count has the invalid value '-1', expected an integer from 0 to 10000",
         REQUIRED_SETTINGS.replace("services.count=2", "services.count=-1"));
     assertRejected(
         "settings line 1 is not of the form key=value", "nonsense\n" + REQUIRED_SETTINGS);
--- a/src/test/java/loadbalancer/simulation/SimulationHostTest.java
+++ b/src/test/java/loadbalancer/simulation/SimulationHostTest.java
@@ -154,9 +154,8 @@
 
   @Test
   void replyThatOutgrowsItsBufferKeepsAllRecords() {
-    // More records than fit into the initial buffer of ActionWriter, which has to keep those that
-    // it
-    // already holds when it grows.
+    // More records than fit into the initial buffer of ActionWriter, which has to keep the records
+    // that it already holds when it grows.
     byte[][] requests = new byte[1_500][];
     byte[][] failures = new byte[requests.length][];
     for (int i = 0; i < requests.length; i++) {
@@ -259,7 +258,7 @@
   void malformedRecordsEndTheRunWithAMessage() {
     byte[] noTail = new byte[0];
     assertRejected(
-        "unknown event code 11",
+        "unknown event code 11, the highest is 10",
         concat(openingFrame(), frame(10_001, noTail, record(11, INSTANCE))));
     assertRejected(
         "unknown instance 4", concat(openingFrame(), frame(10_001, noTail, record(6, 4))));
@@ -283,7 +282,7 @@
     byte[] unknownRequestClass = requestArrived(1);
     unknownRequestClass[13] = 9;
     assertRejected(
-        "unknown request class 9",
+        "unknown request class 9, the settings have 2 request classes",
         concat(openingFrame(), frame(10_001, noTail, unknownRequestClass)));
   }
 
