--- a/src/main/java/loadbalancer/benchmark/BalancerProcess.java
+++ b/src/main/java/loadbalancer/benchmark/BalancerProcess.java
@@ -18,12 +18,12 @@
 import java.util.regex.Pattern;
 
 /**
- * A balancer in a process of its own, started by the deploy file's {@code run}. The processes end
- * with the benchmark.
+ * A real balancer that runs in a process of its own, started with the command {@code run} of the
+ * deploy file. Processes that still run when the benchmark exits are killed.
  */
 final class BalancerProcess implements AutoCloseable {
 
-  /** How long a balancer may take to be ready, by the deployment page. */
+  /** The longest time from start to readiness that the deployment documentation allows. */
   static final double READY_TIMEOUT_SECONDS = 30;
 
   private static final Path DEPLOY_FILE = Path.of("deploy/balancer.toml");
@@ -33,9 +33,12 @@
   private static final int CONNECT_TIMEOUT_MILLIS = 200;
   private static final int RESPONSE_TIMEOUT_MILLIS = 10_000;
   private static final double NANOS_PER_MILLI = 1e6;
+
+  /** Linux reports processor times in units of 1/100 s. */
   private static final double MILLIS_PER_TICK = 10;
 
-  /** Indexes of the processor times in /proc/PID/stat, counted after the program's name. */
+  // Indexes of processor times among the fields that follow the program name in /proc/PID/stat.
+
   private static final int USER_TIME_FIELD = 11;
 
   private static final int SYSTEM_TIME_FIELD = 12;
@@ -46,71 +49,79 @@
   }
 
   private final Process process;
-  private final Path config;
-  private final Path log;
-  private final InetSocketAddress listen;
-  private final long startedAt = System.nanoTime();
+  private final Path configFile;
+  private final Path logFile;
+  private final InetSocketAddress listenAddress;
+  private final long startNanos = System.nanoTime();
   private double readyMillis;
   private double readyCpuMillis;
 
-  /** Gives each balancer its configuration file. */
-  interface Configuration {
+  /** Creates the configuration of each balancer. */
+  interface ConfigurationFactory {
 
-    /** The file of the balancer at a position that listens at an address. */
-    String of(int position, InetSocketAddress listen);
+    /** Returns the content of a balancer's configuration file. */
+    String create(int balancerIndex, InetSocketAddress listenAddress);
   }
 
-  private BalancerProcess(String run, Configuration configuration, int position)
+  private BalancerProcess(String runCommand, ConfigurationFactory configurations, int balancerIndex)
       throws IOException {
-    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      listen = (InetSocketAddress) free.getLocalSocketAddress();
+    try (ServerSocket freePort = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      listenAddress = (InetSocketAddress) freePort.getLocalSocketAddress();
     }
-    config = Files.createTempFile("balancer", ".json");
-    log = Files.createTempFile("balancer", ".log");
-    config.toFile().deleteOnExit();
-    log.toFile().deleteOnExit();
-    Files.writeString(config, configuration.of(position, listen));
-    ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", run);
-    builder.environment().put("PROXY_CONFIG", config.toString());
-    process = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
+    configFile = Files.createTempFile("balancer", ".json");
+    logFile = Files.createTempFile("balancer", ".log");
+    configFile.toFile().deleteOnExit();
+    logFile.toFile().deleteOnExit();
+    Files.writeString(configFile, configurations.create(balancerIndex, listenAddress));
+    ProcessBuilder processBuilder = new ProcessBuilder("/bin/sh", "-c", runCommand);
+    processBuilder.environment().put("PROXY_CONFIG", configFile.toString());
+    process = processBuilder.redirectErrorStream(true).redirectOutput(logFile.toFile()).start();
     RUNNING.add(process);
   }
 
   /** Reads the shell command that starts a balancer from the deploy file. */
   static String readRunCommand() throws IOException {
-    Matcher run =
+    Matcher runLine =
         RUN_COMMAND.matcher(Files.exists(DEPLOY_FILE) ? Files.readString(DEPLOY_FILE) : "");
-    if (!run.find()) {
+    if (!runLine.find()) {
       throw new BenchmarkException(
-          "found no run in " + DEPLOY_FILE + ": start it from the root of the project");
+          "found no run command in "
+              + DEPLOY_FILE
+              + ": start the benchmark in the root directory of the project");
     }
-    return run.group(1).replace("\\\"", "\"");
+    return runLine.group(1).replace("\\\"", "\"");
   }
 
-  /** Starts balancers at once and returns when all are ready; throws if one fails to be. */
+  /**
+   * Starts balancers that get their endpoint list from a discovery service, all at the same time,
+   * and returns when all are ready. If one does not become ready, kills all of them and throws.
+   */
   static List<BalancerProcess> start(
-      int count, String run, DiscoveryStandIn discovery, long seed, int tier, int zones)
+      int count, String runCommand, FakeDiscoveryService discovery, long seed, int tier, int zones)
       throws IOException, InterruptedException {
-    InetSocketAddress asked = discovery.address(DiscoveryStandIn.REAL_BALANCERS);
+    InetSocketAddress discoveryAddress = discovery.address(FakeDiscoveryService.REAL_BALANCERS);
     return start(
         count,
-        run,
-        (position, listen) -> Fleet.config(listen, asked, seed + position, count, tier, zones));
+        runCommand,
+        (balancerIndex, listenAddress) ->
+            SyntheticDeployment.configJson(
+                listenAddress, discoveryAddress, seed + balancerIndex, count, tier, zones));
   }
 
-  /** The same with other configurations. */
-  static List<BalancerProcess> start(int count, String run, Configuration configuration)
+  /** Starts balancers in the same way, but with the given configurations. */
+  static List<BalancerProcess> start(
+      int count, String runCommand, ConfigurationFactory configurations)
       throws IOException, InterruptedException {
     List<BalancerProcess> balancers = new ArrayList<>();
     try {
       for (int i = 0; i < count; i++) {
-        balancers.add(new BalancerProcess(run, configuration, i));
+        balancers.add(new BalancerProcess(runCommand, configurations, i));
       }
-      boolean waiting = true;
-      while (waiting) {
-        waiting = false;
+      boolean anyNotReady = true;
+      while (anyNotReady) {
+        anyNotReady = false;
         for (BalancerProcess balancer : balancers) {
-          waiting |= !balancer.isReady();
+          anyNotReady |= !balancer.isReady();
         }
         TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
       }
@@ -125,14 +136,19 @@
     if (readyMillis > 0) {
       return true;
     }
-    double millis = (System.nanoTime() - startedAt) / NANOS_PER_MILLI;
+    double elapsedMillis = (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
     checkAlive();
-    if (millis > READY_TIMEOUT_SECONDS * 1_000) {
+    if (elapsedMillis > READY_TIMEOUT_SECONDS * 1_000) {
       throw new BenchmarkException(
-          "a balancer is not ready after " + READY_TIMEOUT_SECONDS + " s: " + lastLogLine());
+          "balancer process "
+              + process.pid()
+              + " is not ready after "
+              + READY_TIMEOUT_SECONDS
+              + " s; last log line: "
+              + lastLogLine());
     }
     try (Socket socket = connectHealthy()) {
-      readyMillis = (System.nanoTime() - startedAt) / NANOS_PER_MILLI;
+      readyMillis = (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
       readyCpuMillis = cpuMillis();
       return socket.isConnected();
     } catch (IOException e) {
@@ -140,38 +156,50 @@
     }
   }
 
-  /** Throws if the process has ended by itself. */
+  /** Throws if the process has exited. */
   void checkAlive() throws IOException {
     if (!process.isAlive()) {
       throw new BenchmarkException(
-          "a balancer ended with status " + process.exitValue() + ": " + lastLogLine());
+          "balancer process "
+              + process.pid()
+              + " exited with status "
+              + process.exitValue()
+              + "; last log line: "
+              + lastLogLine());
     }
   }
 
   private String lastLogLine() throws IOException {
-    List<String> lines = Files.readAllLines(log);
-    return lines.isEmpty() ? "no log line" : lines.get(lines.size() - 1);
+    List<String> lines = Files.readAllLines(logFile);
+    return lines.isEmpty() ? "none" : lines.get(lines.size() - 1);
   }
 
-  /** The address that it listens on. */
+  /** Returns the address at which the balancer listens for clients. */
   InetSocketAddress address() {
-    return listen;
+    return listenAddress;
   }
 
-  /** Opens a connection and makes a successful health check on it; the caller closes it. */
+  /**
+   * Opens a connection and performs a health check on it, which has to succeed. The caller closes
+   * the connection.
+   */
   Socket connectHealthy() throws IOException {
     Socket socket = new Socket();
     try {
-      socket.connect(listen, CONNECT_TIMEOUT_MILLIS);
+      socket.connect(listenAddress, CONNECT_TIMEOUT_MILLIS);
       socket.setSoTimeout(RESPONSE_TIMEOUT_MILLIS);
       socket
           .getOutputStream()
           .write(
               "GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
       InputStream in = socket.getInputStream();
-      String status = new String(in.readNBytes("HTTP/1.1 200".length()), StandardCharsets.US_ASCII);
-      if (!status.equals("HTTP/1.1 200")) {
-        throw new IOException("health answered '" + status + "'");
+      String statusLine =
+          new String(in.readNBytes("HTTP/1.1 200".length()), StandardCharsets.US_ASCII);
+      if (!statusLine.equals("HTTP/1.1 200")) {
+        throw new IOException(
+            "response to the health check begins with '"
+                + statusLine
+                + "' instead of 'HTTP/1.1 200'");
       }
       return socket;
     } catch (IOException e) {
@@ -180,29 +208,33 @@
     }
   }
 
+  /** Returns the time from the start of the process until it was ready. */
   double readyMillis() {
     return readyMillis;
   }
 
-  /** Processor time from its start until it was ready. */
+  /** Returns the processor time that the process had used when it was ready. */
   double readyCpuMillis() {
     return readyCpuMillis;
   }
 
-  /** Processor time so far in milliseconds, in steps of 10 ms. */
+  /** Returns the processor time used so far in milliseconds, in steps of 10 ms. */
   double cpuMillis() throws IOException {
     checkAlive();
-    String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
-    String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+    String statLine = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
+    String[] fields = statLine.substring(statLine.lastIndexOf(')') + 2).split(" ");
     return (Long.parseLong(fields[USER_TIME_FIELD]) + Long.parseLong(fields[SYSTEM_TIME_FIELD]))
         * MILLIS_PER_TICK;
   }
 
-  /** A value in KB of /proc/PID/status: VmRSS is resident, VmHWM its peak, RssAnon private. */
-  double memoryKb(String name) throws IOException {
+  /**
+   * Returns a field of /proc/PID/status that is in KB, such as VmRSS for the resident memory, VmHWM
+   * for its peak and RssAnon for the anonymous part of it.
+   */
+  double memoryKb(String fieldName) throws IOException {
     checkAlive();
     return Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
-        .filter(line -> line.startsWith(name + ":"))
+        .filter(line -> line.startsWith(fieldName + ":"))
         .findFirst()
         .map(line -> Double.parseDouble(line.replaceAll("[^0-9]", "")))
         .orElse(Double.NaN);
@@ -214,10 +246,11 @@
     process.onExit().join();
     RUNNING.remove(process);
     try {
-      Files.deleteIfExists(config);
-      Files.deleteIfExists(log);
+      Files.deleteIfExists(configFile);
+      Files.deleteIfExists(logFile);
     } catch (IOException e) {
-      throw new BenchmarkException("can't remove " + e.getMessage());
+      throw new BenchmarkException(
+          "can't delete a temporary file of a balancer: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/loadbalancer/benchmark/BenchmarkException.java
+++ b/src/main/java/loadbalancer/benchmark/BenchmarkException.java
@@ -1,6 +1,6 @@
 package loadbalancer.benchmark;
 
-/** The benchmark can't start or go on; the message is one line for the command's user. */
+/** Thrown if the benchmark can't start or continue; the message is one line for its user. */
 final class BenchmarkException extends RuntimeException {
 
   private static final long serialVersionUID = 1;
--- a/src/main/java/loadbalancer/benchmark/BenchmarkMain.java
+++ b/src/main/java/loadbalancer/benchmark/BenchmarkMain.java
@@ -10,12 +10,13 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The benchmark's command line. It ends by itself, at the latest after {@code --limit}. */
+/** The benchmark's command line. The process exits after {@code --limit} at the latest. */
 @Command(
     name = "load-balancer-benchmark",
     mixinStandardHelpOptions = true,
     description =
-        "Measures how costs grow with lists and fleets; prints a line of JSON for each point.",
+        "Measures how costs grow with the endpoint list and the number of balancers."
+            + " Prints a line of JSON for each measured point.",
     subcommands = {
       CallsCommand.class,
       ControlCommand.class,
@@ -24,16 +25,18 @@
     })
 public final class BenchmarkMain implements Runnable {
 
-  private static final int INVALID_ARGUMENTS = 2;
-  private static final int FAILED = 1;
-  private static final int OUT_OF_TIME = 3;
+  private static final int STATUS_INVALID_ARGUMENTS = 2;
+  private static final int STATUS_FAILED = 1;
+  private static final int STATUS_TIME_LIMIT = 3;
   private static final int MAX_LIMIT_SECONDS = 1_800;
 
   @Option(
       names = "--limit",
       defaultValue = "600",
       scope = CommandLine.ScopeType.INHERIT,
-      description = "Seconds after which the run is broken off.")
+      description =
+          "Seconds after which the benchmark is aborted with status 3, at most 1800"
+              + " (default ${DEFAULT-VALUE}).")
   private int limitSeconds;
 
   @Spec private CommandSpec spec;
@@ -47,41 +50,46 @@
     System.exit(runCommand(args));
   }
 
-  /** Returns the exit status: 0, 1 for a failed run, 2 for invalid arguments. */
+  /**
+   * Returns the exit status: 0, 1 for a failed run, 2 for invalid arguments. After {@code --limit},
+   * the process exits with status 3 instead.
+   */
   static int runCommand(String... args) {
-    Level before = ProxyLogger.LOGGER.getLevel();
+    Level previousLevel = ProxyLogger.LOGGER.getLevel();
     ProxyLogger.LOGGER.setLevel(Level.SEVERE);
     try {
       return execute(args);
     } finally {
-      ProxyLogger.LOGGER.setLevel(before);
+      ProxyLogger.LOGGER.setLevel(previousLevel);
     }
   }
 
   private static int execute(String... args) {
     BenchmarkMain main = new BenchmarkMain();
-    CommandLine line = new CommandLine(main);
-    line.setParameterExceptionHandler((e, given) -> reportError(e.getMessage(), INVALID_ARGUMENTS));
-    line.setExecutionExceptionHandler(
+    CommandLine commandLine = new CommandLine(main);
+    commandLine.setParameterExceptionHandler(
+        (e, arguments) -> reportError(e.getMessage(), STATUS_INVALID_ARGUMENTS));
+    commandLine.setExecutionExceptionHandler(
         (e, command, parsed) ->
-            reportError(e instanceof BenchmarkException ? e.getMessage() : e.toString(), FAILED));
-    line.setExecutionStrategy(
+            reportError(
+                e instanceof BenchmarkException ? e.getMessage() : e.toString(), STATUS_FAILED));
+    commandLine.setExecutionStrategy(
         parsed -> {
           try {
-            Arguments.requireBetween("--limit", main.limitSeconds, 1, MAX_LIMIT_SECONDS);
+            OptionValidator.requireBetween("--limit", main.limitSeconds, 1, MAX_LIMIT_SECONDS);
           } catch (BenchmarkException e) {
-            return reportError(e.getMessage(), INVALID_ARGUMENTS);
+            return reportError(e.getMessage(), STATUS_INVALID_ARGUMENTS);
           }
           main.startWatchdog();
           return new CommandLine.RunLast().execute(parsed);
         });
-    return line.execute(args);
+    return commandLine.execute(args);
   }
 
   @Override
   public void run() {
     throw new ParameterException(
-        spec.commandLine(), "names no command: calls, control, processes or fit");
+        spec.commandLine(), "missing command: calls, control, processes or fit");
   }
 
   private void startWatchdog() {
@@ -90,7 +98,9 @@
             () -> {
               try {
                 TimeUnit.SECONDS.sleep(limitSeconds);
-                System.exit(reportError("broken off after " + limitSeconds + " s", OUT_OF_TIME));
+                System.exit(
+                    reportError(
+                        "aborted after the --limit of " + limitSeconds + " s", STATUS_TIME_LIMIT));
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
--- a/src/main/java/loadbalancer/benchmark/CallsCommand.java
+++ b/src/main/java/loadbalancer/benchmark/CallsCommand.java
@@ -14,13 +14,17 @@
 import picocli.CommandLine.Option;
 
 /**
- * Measures processor time, bytes allocated and operations of a request, a change, an empty update
- * and a full list against the length of the list: of the policy alone, and of parsing a list. Run
- * it with the JVM flags of the deploy file's {@code run}, which choose the compiler.
+ * Measures the policy in virtual time and the parser of endpoint lists, with endpoint lists of
+ * different lengths: processor time and allocated bytes per request, change of one endpoint, empty
+ * update, full list and parsed list, and counts of the policy's operations per request. To be run
+ * with the JVM flags of the command {@code run} in the deploy file, as they select the JIT
+ * compiler.
  */
 @Command(
     name = "calls",
-    description = "Measures a call, a change and a full list against list length.",
+    description =
+        "Measures what a request, a change of one endpoint and a full endpoint list cost the policy,"
+            + " against the length of the list.",
     mixinStandardHelpOptions = true)
 final class CallsCommand implements Callable<Integer> {
 
@@ -30,7 +34,15 @@
   private static final int MAX_REPEATS = 50;
   private static final int COUNTED_REQUESTS = 200;
 
-  /** How long an idle upstream connection is kept, by the limit in {@link Fleet}. */
+  /** Fixed, so that the counts of operations are the same whatever the options say. */
+  private static final double COUNTING_RATE = 147;
+
+  private static final long COUNTING_SEED = 1;
+
+  /**
+   * How long the proxy keeps an idle upstream connection: 0.7 of the limit {@code connIdle} in
+   * {@link SyntheticDeployment}.
+   */
   private static final double IDLE_TIMEOUT_MILLIS = 21_000;
 
   private static final InetSocketAddress UNUSED_ADDRESS = new InetSocketAddress("127.0.0.1", 1);
@@ -39,138 +51,156 @@
       names = "--lists",
       split = ",",
       defaultValue = "10,30,100,300,1000,4000",
-      description = "Lengths of the list (default ${DEFAULT-VALUE}).")
-  private List<Integer> lists;
+      description =
+          "Numbers of endpoints in the list, each measured on its own (default ${DEFAULT-VALUE}).")
+  private List<Integer> listLengths;
 
   @Mixin private DeploymentOptions deployment;
 
   @Option(
       names = "--rate",
       defaultValue = "147",
-      description = "Calls a second at the balancer (default ${DEFAULT-VALUE}).")
-  private double rate;
+      description =
+          "Requests per second that arrive at the balancer, in virtual time (default ${DEFAULT-VALUE}).")
+  private double requestsPerSecond;
 
   @Option(
       names = "--repeats",
       defaultValue = "7",
-      description = "Batches (default ${DEFAULT-VALUE}).")
-  private int repeats;
+      description = "Measured batches per operation (default ${DEFAULT-VALUE}).")
+  private int batches;
 
   @Option(
       names = "--batch-ms",
       defaultValue = "60",
-      description = "Processor time of a batch (default ${DEFAULT-VALUE}).")
+      description = "Processor time of a batch in milliseconds (default ${DEFAULT-VALUE}).")
   private int batchMillis;
 
   @Override
   public Integer call() throws IOException {
-    Arguments.requireEachBetween("--lists", lists, 1, MAX_LIST_LENGTH);
-    deployment.check();
-    Arguments.requireBetween("--rate", rate, 1, 10_000);
-    Arguments.requireBetween("--repeats", repeats, 1, MAX_REPEATS);
-    Arguments.requireBetween("--batch-ms", batchMillis, 1, 1_000);
-    Machine.requireCapacity(0, 0);
-    for (int length : lists) {
-      measure(length).print(System.out);
+    OptionValidator.requireEachBetween("--lists", listLengths, 1, MAX_LIST_LENGTH);
+    deployment.validate();
+    OptionValidator.requireBetween("--rate", requestsPerSecond, 1, 10_000);
+    OptionValidator.requireBetween("--repeats", batches, 1, MAX_REPEATS);
+    OptionValidator.requireBetween("--batch-ms", batchMillis, 1, 1_000);
+    BenchmarkMachine.requireCapacity(0, 0);
+    for (int listLength : listLengths) {
+      measure(listLength).print(System.out);
     }
     return 0;
   }
 
-  private Point measure(int length) throws IOException {
-    Point point = createPoint(length);
-    SimulatedBalancer.Template template = createTemplate(length);
-    byte[] body =
-        Fleet.list(1, true, Fleet.entries(length, deployment.zones))
+  private MeasuredPoint measure(int listLength) throws IOException {
+    MeasuredPoint point = createPoint(listLength);
+    SimulatedBalancer.Template template = createTemplate(listLength);
+    byte[] listJson =
+        SyntheticDeployment.listJson(
+                1, true, SyntheticDeployment.entries(listLength, deployment.zones))
             .getBytes(StandardCharsets.US_ASCII);
-    List<Endpoint> list = template.list(body);
-    count(point, template, list);
-    PolicyRun run = new PolicyRun(template.settings(), list, rate, deployment.seed);
-    time(point, "call", run::handleRequest);
-    time(point, "change", run::changeOneEndpoint);
-    time(point, "no_news", run::emptyUpdate);
-    time(point, "list", run::fullList);
-    time(point, "parse", () -> parse(template, body));
-    // A new run: requests in flight have become late while changes were timed.
+    List<Endpoint> endpoints = template.parseEndpoints(listJson);
+    countOperations(point, template, endpoints);
+    VirtualTimePolicyRun run =
+        new VirtualTimePolicyRun(
+            template.settings(), endpoints, requestsPerSecond, deployment.seed);
+    measureCost(point, "call", run::handleRequest);
+    measureCost(point, "change", run::changeOneEndpoint);
+    measureCost(point, "no_news", run::emptyUpdate);
+    measureCost(point, "list", run::fullList);
+    measureCost(point, "parse", () -> parse(template, listJson));
+    // In a separate run, as the changes above have advanced the virtual time of the first one by so
+    // much that its requests in flight are late.
     point.results.put(
         "reached",
-        new PolicyRun(template.settings(), list, rate, deployment.seed)
-            .endpointsReached(IDLE_TIMEOUT_MILLIS));
-    point.results.put("list_bytes", body.length);
+        new VirtualTimePolicyRun(template.settings(), endpoints, requestsPerSecond, deployment.seed)
+            .countEndpointsReached(IDLE_TIMEOUT_MILLIS));
+    point.results.put("list_bytes", listJson.length);
     return point;
   }
 
-  private Point createPoint(int length) {
-    Point point = new Point("calls", deployment.seed);
+  private MeasuredPoint createPoint(int listLength) {
+    MeasuredPoint point = new MeasuredPoint("calls", deployment.seed);
     point
         .parameters
-        .put("list", length)
+        .put("list", listLength)
         .put("zones", deployment.zones)
         .put("tier", deployment.tierOr(DEFAULT_TIER))
-        .put("rate", rate)
+        .put("rate", requestsPerSecond)
         .put("batch_ms", batchMillis);
     return point;
   }
 
-  private SimulatedBalancer.Template createTemplate(int length) {
+  private SimulatedBalancer.Template createTemplate(int listLength) {
     return SimulatedBalancer.Template.parse(
-        Fleet.config(
+        SyntheticDeployment.configJson(
             UNUSED_ADDRESS,
             UNUSED_ADDRESS,
             deployment.seed,
-            length,
+            listLength,
             deployment.tierOr(DEFAULT_TIER),
             deployment.zones));
   }
 
-  private static void parse(SimulatedBalancer.Template template, byte[] body) {
+  private static void parse(SimulatedBalancer.Template template, byte[] listJson) {
     try {
-      template.list(body);
+      template.parseEndpoints(listJson);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  /** Counts operations, which don't depend on the machine. */
-  static void count(Point point, SimulatedBalancer.Template template, List<Endpoint> list) {
-    PolicyRun.EndpointChecks checks = new PolicyRun.EndpointChecks();
-    PolicyRun run =
-        new PolicyRun(PolicyRun.withEndpointChecks(template.settings(), checks), list, 147, 1);
+  /** Counts the policy's operations per request, which don't depend on the machine. */
+  static void countOperations(
+      MeasuredPoint point, SimulatedBalancer.Template template, List<Endpoint> endpoints) {
+    VirtualTimePolicyRun.EndpointChecks checks = new VirtualTimePolicyRun.EndpointChecks();
+    VirtualTimePolicyRun run =
+        new VirtualTimePolicyRun(
+            VirtualTimePolicyRun.withEndpointChecks(template.settings(), checks),
+            endpoints,
+            COUNTING_RATE,
+            COUNTING_SEED);
     for (int i = 0; i < COUNTED_REQUESTS; i++) {
       run.handleRequest();
     }
     point.results.put("call_looks", (double) checks.count() / COUNTED_REQUESTS);
     point.results.put("call_sends", (double) run.attemptsSent() / COUNTED_REQUESTS);
-    point.results.put("call_timers", (double) run.timersSet() / COUNTED_REQUESTS);
+    point.results.put("call_timers", (double) run.timersScheduled() / COUNTED_REQUESTS);
   }
 
-  /** Times batches of a fixed processor time; warm-up batches find how many calls make one. */
-  private void time(Point point, String name, Runnable work) {
+  /**
+   * Measures an operation in batches of about equal processor time. Warm-up batches determine how
+   * often the operation is repeated in a batch.
+   */
+  private void measureCost(MeasuredPoint point, String resultKey, Runnable operation) {
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-    long wanted = batchMillis * 1_000_000L;
-    int times = 1;
-    for (long spent = 0, before; spent < wanted; times = spent < wanted ? times * 2 : times) {
-      before = threads.getCurrentThreadCpuTime();
-      repeat(work, times);
-      spent = threads.getCurrentThreadCpuTime() - before;
+    long batchNanos = batchMillis * 1_000_000L;
+    int callsPerBatch = 1;
+    for (long spentNanos = 0, startNanos;
+        spentNanos < batchNanos;
+        callsPerBatch = spentNanos < batchNanos ? callsPerBatch * 2 : callsPerBatch) {
+      startNanos = threads.getCurrentThreadCpuTime();
+      repeat(operation, callsPerBatch);
+      spentNanos = threads.getCurrentThreadCpuTime() - startNanos;
     }
-    repeat(work, times);
-    double[] each = new double[repeats];
-    double[] allocated = new double[repeats];
-    long id = Thread.currentThread().getId();
-    for (int i = 0; i < repeats; i++) {
-      long bytes = threads.getThreadAllocatedBytes(id);
-      long before = threads.getCurrentThreadCpuTime();
-      repeat(work, times);
-      each[i] = (threads.getCurrentThreadCpuTime() - before) / NANOS_PER_MICRO / times;
-      allocated[i] = (double) (threads.getThreadAllocatedBytes(id) - bytes) / times;
+    repeat(operation, callsPerBatch);
+    double[] microsPerCall = new double[batches];
+    double[] bytesPerCall = new double[batches];
+    long threadId = Thread.currentThread().getId();
+    for (int i = 0; i < batches; i++) {
+      long allocatedBefore = threads.getThreadAllocatedBytes(threadId);
+      long startNanos = threads.getCurrentThreadCpuTime();
+      repeat(operation, callsPerBatch);
+      microsPerCall[i] =
+          (threads.getCurrentThreadCpuTime() - startNanos) / NANOS_PER_MICRO / callsPerBatch;
+      bytesPerCall[i] =
+          (double) (threads.getThreadAllocatedBytes(threadId) - allocatedBefore) / callsPerBatch;
     }
-    Point.putSpread(point.results, name + "_us", each);
-    Point.putSpread(point.results, name + "_allocated_bytes", allocated);
+    MeasuredPoint.putSpread(point.results, resultKey + "_us", microsPerCall);
+    MeasuredPoint.putSpread(point.results, resultKey + "_allocated_bytes", bytesPerCall);
   }
 
-  private static void repeat(Runnable work, int times) {
-    for (int i = 0; i < times; i++) {
-      work.run();
+  private static void repeat(Runnable operation, int callsPerBatch) {
+    for (int i = 0; i < callsPerBatch; i++) {
+      operation.run();
     }
   }
 }
--- a/src/main/java/loadbalancer/benchmark/ControlCommand.java
+++ b/src/main/java/loadbalancer/benchmark/ControlCommand.java
@@ -5,18 +5,20 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import loadbalancer.benchmark.Fleet.Entry;
+import loadbalancer.benchmark.SyntheticDeployment.EndpointEntry;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
 /**
- * Measures many balancers against one discovery service: the phases of {@link ControlScenario},
- * each printed as one point.
+ * Measures what it costs to distribute the endpoint list from one discovery service to many
+ * balancers. Runs the phases of {@link ControlScenario} and prints a point for each.
  */
 @Command(
     name = "control",
-    description = "Measures what control costs against balancers and list length.",
+    description =
+        "Measures what it costs to distribute the endpoint list and its changes from discovery,"
+            + " against the number of balancers and the length of the list.",
     mixinStandardHelpOptions = true)
 final class ControlCommand implements Callable<Integer> {
 
@@ -24,67 +26,100 @@
   private static final int MAX_BALANCERS = 6_000;
   private static final int MAX_LIST_LENGTH = 15_000;
 
-  /** Bounds memory: each balancer's policy holds the list, at some 400 bytes an entry. */
-  private static final long MAX_ENTRIES = 4_000_000;
+  /**
+   * Bounds memory: the policy of each simulated balancer holds the whole list, which takes about
+   * 400 bytes per endpoint.
+   */
+  private static final long MAX_ENTRIES_OF_ALL_BALANCERS = 4_000_000;
 
-  private static final int SPARE_SOCKETS = 500;
+  /**
+   * Descriptors allowed for in addition to the two ends of each simulated balancer's connection.
+   */
+  private static final int SPARE_DESCRIPTORS = 500;
 
-  @Option(names = "--balancers", defaultValue = "200", description = "Simulated balancers.")
-  int balancers;
+  @Option(
+      names = "--balancers",
+      defaultValue = "200",
+      description = "Number of simulated balancers (default ${DEFAULT-VALUE}).")
+  int balancerCount;
 
-  @Option(names = "--list", defaultValue = "100", description = "Upstreams in the list.")
-  int list;
+  @Option(
+      names = "--list",
+      defaultValue = "100",
+      description = "Number of endpoints in discovery's list (default ${DEFAULT-VALUE}).")
+  int listLength;
 
-  @Option(names = "--real", defaultValue = "0", description = "Real balancers beside them.")
-  int real;
+  @Option(
+      names = "--real",
+      defaultValue = "0",
+      description =
+          "Number of real balancer processes beside the simulated ones (default ${DEFAULT-VALUE}).")
+  int realBalancerCount;
 
   @Mixin DeploymentOptions deployment = new DeploymentOptions();
 
   @Option(
       names = "--loops",
       defaultValue = "2",
-      description = "Threads that simulated balancers share.")
-  int loops;
+      description =
+          "Number of event loops, each with a thread, that the simulated balancers share"
+              + " (default ${DEFAULT-VALUE}).")
+  int loopCount;
 
   @Option(
       names = "--rest",
       defaultValue = "6",
-      description = "Seconds of the phase without changes.")
-  double rest;
+      description = "Seconds of the phase 'rest', which has no changes (default ${DEFAULT-VALUE}).")
+  double restSeconds;
 
   @Option(
       names = "--changes",
       defaultValue = "5",
-      description = "Single changes, one after another.")
-  int changes;
+      description =
+          "Number of changes of one endpoint in the phase 'changes'; each follows when all simulated"
+              + " balancers have applied the one before (default ${DEFAULT-VALUE}).")
+  int changeCount;
 
   @Option(
       names = "--day",
       defaultValue = "12",
-      description = "Seconds of changes at the daily rate.")
-  double day;
+      description =
+          "Seconds of the phase 'day', with changes at the rate of --a-day (default ${DEFAULT-VALUE}).")
+  double daySeconds;
 
-  @Option(names = "--a-day", defaultValue = "29000", description = "Changes a day.")
-  double changesADay;
+  @Option(
+      names = "--a-day",
+      defaultValue = "29000",
+      description =
+          "Mean number of changes of one endpoint per day in the phase 'day' (default ${DEFAULT-VALUE}).")
+  double changesPerDay;
 
-  @Option(names = "--outage", defaultValue = "5", description = "Seconds of the outage.")
-  double outage;
+  @Option(
+      names = "--outage",
+      defaultValue = "5",
+      description =
+          "Seconds of the phase 'outage', in which discovery doesn't answer (default ${DEFAULT-VALUE}).")
+  double outageSeconds;
 
   @Option(
       names = "--refuse",
-      description = "In the outage connections are reset instead of silent.")
-  boolean refuse;
+      description =
+          "During the outage, discovery resets all connections; else it accepts them but doesn't"
+              + " answer.")
+  boolean refuseConnections;
 
   @Option(
       names = "--keeps-history",
-      description = "After the outage changes are known, not full lists.")
-  boolean keepsHistory;
+      description =
+          "After the outage, discovery still has the changes and sends them; else it sends full"
+              + " lists.")
+  boolean keepHistory;
 
   private PrintStream out = System.out;
 
-  /** Prints the points to another stream; for tests. */
-  ControlCommand printTo(PrintStream stream) {
-    out = stream;
+  /** Makes the command print its points to a stream other than standard output, for tests. */
+  ControlCommand printPointsTo(PrintStream output) {
+    out = output;
     return this;
   }
 
@@ -95,17 +130,17 @@
   @Override
   public Integer call() throws IOException, InterruptedException {
     validate();
-    Machine.requireCapacity(2L * balancers + SPARE_SOCKETS, real);
-    List<Entry> entries = new ArrayList<>(Fleet.entries(list, deployment.zones));
-    Propagation simulatedPropagation = new Propagation();
-    Propagation realPropagation = new Propagation();
-    try (DiscoveryStandIn discovery =
-            new DiscoveryStandIn(
-                entries, new PropagationListener(simulatedPropagation, realPropagation));
-        SimulatedFleet fleet = createFleet(discovery, simulatedPropagation)) {
+    BenchmarkMachine.requireCapacity(2L * balancerCount + SPARE_DESCRIPTORS, realBalancerCount);
+    List<EndpointEntry> entries =
+        new ArrayList<>(SyntheticDeployment.entries(listLength, deployment.zones));
+    PropagationTimes simulatedTimes = new PropagationTimes();
+    PropagationTimes realTimes = new PropagationTimes();
+    try (FakeDiscoveryService discovery =
+            new FakeDiscoveryService(entries, new VersionRecorder(simulatedTimes, realTimes));
+        SimulatedBalancerFleet fleet = createFleet(discovery, simulatedTimes)) {
       List<BalancerProcess> realBalancers =
           BalancerProcess.start(
-              real,
+              realBalancerCount,
               BalancerProcess.readRunCommand(),
               discovery,
               deployment.seed,
@@ -114,7 +149,7 @@
       try {
         PhaseRecorder recorder =
             new PhaseRecorder(
-                this, discovery, fleet, realBalancers, simulatedPropagation, realPropagation, out);
+                this, discovery, fleet, realBalancers, simulatedTimes, realTimes, out);
         new ControlScenario(this, discovery, fleet, entries, recorder).run();
       } finally {
         realBalancers.forEach(BalancerProcess::close);
@@ -124,45 +159,54 @@
   }
 
   private void validate() {
-    Arguments.requireBetween("--balancers", balancers, 1, MAX_BALANCERS);
-    Arguments.requireBetween("--list", list, 1, MAX_LIST_LENGTH);
-    Arguments.requireBetween("--balancers times --list", (double) balancers * list, 1, MAX_ENTRIES);
-    Arguments.requireBetween("--real", real, 0, 64);
-    deployment.check();
-    Arguments.requireBetween("--loops", loops, 1, 8);
-    Arguments.requireBetween("--rest", rest, 0, 120);
-    Arguments.requireBetween("--changes", changes, 0, 1_000);
-    Arguments.requireBetween("--day", day, 0, 120);
-    Arguments.requireBetween("--a-day", changesADay, 1, 10_000_000);
-    Arguments.requireBetween("--outage", outage, 0, 60);
+    OptionValidator.requireBetween("--balancers", balancerCount, 1, MAX_BALANCERS);
+    OptionValidator.requireBetween("--list", listLength, 1, MAX_LIST_LENGTH);
+    OptionValidator.requireBetween(
+        "the product of --balancers and --list",
+        (double) balancerCount * listLength,
+        1,
+        MAX_ENTRIES_OF_ALL_BALANCERS);
+    OptionValidator.requireBetween("--real", realBalancerCount, 0, 64);
+    deployment.validate();
+    OptionValidator.requireBetween("--loops", loopCount, 1, 8);
+    OptionValidator.requireBetween("--rest", restSeconds, 0, 120);
+    OptionValidator.requireBetween("--changes", changeCount, 0, 1_000);
+    OptionValidator.requireBetween("--day", daySeconds, 0, 120);
+    OptionValidator.requireBetween("--a-day", changesPerDay, 1, 10_000_000);
+    OptionValidator.requireBetween("--outage", outageSeconds, 0, 60);
   }
 
-  private SimulatedFleet createFleet(DiscoveryStandIn discovery, Propagation propagation) {
+  private SimulatedBalancerFleet createFleet(
+      FakeDiscoveryService discovery, PropagationTimes propagationTimes) {
     SimulatedBalancer.Template template =
         SimulatedBalancer.Template.parse(
-            Fleet.config(
-                discovery.address(DiscoveryStandIn.SIMULATED_BALANCERS),
-                discovery.address(DiscoveryStandIn.SIMULATED_BALANCERS),
+            SyntheticDeployment.configJson(
+                discovery.address(FakeDiscoveryService.SIMULATED_BALANCERS),
+                discovery.address(FakeDiscoveryService.SIMULATED_BALANCERS),
                 deployment.seed,
-                balancers,
+                balancerCount,
                 tier(),
                 deployment.zones));
-    return new SimulatedFleet(template, balancers, loops, deployment.seed, propagation);
+    return new SimulatedBalancerFleet(
+        template, balancerCount, loopCount, deployment.seed, propagationTimes);
   }
 
-  /** Stamps changes for all balancers, and what real ones acknowledge. */
-  private record PropagationListener(Propagation simulated, Propagation real)
-      implements DiscoveryStandIn.Listener {
+  /**
+   * Records when discovery has a new version, for all balancers, and when a real balancer
+   * acknowledges it. What simulated balancers apply is recorded by {@link SimulatedBalancerFleet}.
+   */
+  private record VersionRecorder(PropagationTimes simulatedTimes, PropagationTimes realTimes)
+      implements FakeDiscoveryService.Listener {
 
     @Override
-    public void changed(long version) {
-      simulated.recordChange(version, System.nanoTime());
-      real.recordChange(version, System.nanoTime());
+    public void versionCreated(long version) {
+      simulatedTimes.recordChange(version, System.nanoTime());
+      realTimes.recordChange(version, System.nanoTime());
     }
 
     @Override
-    public void acknowledged(long after, long version) {
-      real.recordApplied(after, version, System.nanoTime());
+    public void versionAcknowledged(long previousVersion, long version) {
+      realTimes.recordApplied(previousVersion, version, System.nanoTime());
     }
   }
 }
--- a/src/main/java/loadbalancer/benchmark/ControlScenario.java
+++ b/src/main/java/loadbalancer/benchmark/ControlScenario.java
@@ -5,11 +5,12 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.benchmark.Fleet.Entry;
+import loadbalancer.benchmark.SyntheticDeployment.EndpointEntry;
 
 /**
- * The phases of the control benchmark: start, rest, single changes, changes at the daily rate, loss
- * and cold return of a zone, and an outage of discovery with the recovery of all balancers.
+ * The phases of the command {@code control}: start of all balancers, rest, single changes, changes
+ * at a daily rate, loss of a zone with its endpoints and balancers, their return after a restart,
+ * an outage of discovery, and the recovery of all balancers from it.
  */
 final class ControlScenario {
 
@@ -19,17 +20,17 @@
   private static final int OUTAGE_CHANGES = 3;
 
   private final ControlCommand options;
-  private final DiscoveryStandIn discovery;
-  private final SimulatedFleet fleet;
-  private final List<Entry> entries;
+  private final FakeDiscoveryService discovery;
+  private final SimulatedBalancerFleet fleet;
+  private final List<EndpointEntry> entries;
   private final PhaseRecorder recorder;
   private final SplittableRandom random;
 
   ControlScenario(
       ControlCommand options,
-      DiscoveryStandIn discovery,
-      SimulatedFleet fleet,
-      List<Entry> entries,
+      FakeDiscoveryService discovery,
+      SimulatedBalancerFleet fleet,
+      List<EndpointEntry> entries,
       PhaseRecorder recorder) {
     this.options = options;
     this.discovery = discovery;
@@ -41,51 +42,55 @@
 
   void run() throws IOException, InterruptedException {
     recorder.recordWithHeap("start", this::startAll);
-    if (options.rest > 0) {
+    if (options.restSeconds > 0) {
       recorder.record("rest", this::rest);
     }
-    if (options.changes > 0) {
+    if (options.changeCount > 0) {
       recorder.record("changes", this::singleChanges);
     }
-    if (options.day > 0) {
-      recorder.record("day", this::dayOfChanges);
+    if (options.daySeconds > 0) {
+      recorder.record("day", this::changesAtDailyRate);
     }
     if (options.deployment.zones > 1) {
       recorder.record("zone-loss", this::loseZone);
       recorder.record("zone-return", this::returnZone);
     }
-    if (options.outage > 0) {
+    if (options.outageSeconds > 0) {
       recorder.record("outage", this::outage);
       recorder.recordRecovery("return", this::recover);
     }
   }
 
+  // Each phase returns how many simulated balancers lack the latest version at its end.
+
   private int startAll() throws InterruptedException {
-    fleet.start(position -> true);
+    fleet.start(balancerIndex -> true);
     return awaitVersion(1);
   }
 
   private int rest() throws InterruptedException {
-    sleep(options.rest);
+    sleep(options.restSeconds);
     return 0;
   }
 
   private int singleChanges() throws InterruptedException {
-    int behind = 0;
-    for (int i = 0; i < options.changes; i++) {
-      behind += awaitVersion(discovery.change(List.of(toggleDraining())));
+    int outdatedCount = 0;
+    for (int i = 0; i < options.changeCount; i++) {
+      outdatedCount += awaitVersion(discovery.change(List.of(toggleDraining())));
     }
-    return behind;
+    return outdatedCount;
   }
 
-  /** Changes at random times, at the given number a day on average. */
-  private int dayOfChanges() throws InterruptedException {
-    long end = System.nanoTime() + (long) (options.day * NANOS_PER_SECOND);
+  /**
+   * Makes changes at random times, on average as many per day as the option {@code --a-day} says.
+   */
+  private int changesAtDailyRate() throws InterruptedException {
+    long endNanos = System.nanoTime() + (long) (options.daySeconds * NANOS_PER_SECOND);
     long version = 0;
     while (true) {
       double gapSeconds =
-          -Math.log(1 - random.nextDouble()) * SECONDS_PER_DAY / options.changesADay;
-      double secondsLeft = (end - System.nanoTime()) / NANOS_PER_SECOND;
+          -Math.log(1 - random.nextDouble()) * SECONDS_PER_DAY / options.changesPerDay;
+      double secondsLeft = (endNanos - System.nanoTime()) / NANOS_PER_SECOND;
       sleep(Math.min(gapSeconds, secondsLeft));
       if (gapSeconds >= secondsLeft) {
         return awaitVersion(version);
@@ -105,27 +110,33 @@
     return awaitVersion(version);
   }
 
-  private boolean isInFirstZone(int position) {
-    return position % options.deployment.zones == 0;
+  private boolean isInFirstZone(int balancerIndex) {
+    return balancerIndex % options.deployment.zones == 0;
   }
 
   private int outage() throws InterruptedException {
-    discovery.mode(options.refuse ? DiscoveryStandIn.Mode.REFUSING : DiscoveryStandIn.Mode.SILENT);
+    discovery.setMode(
+        options.refuseConnections
+            ? FakeDiscoveryService.Mode.REFUSING
+            : FakeDiscoveryService.Mode.SILENT);
     for (int i = 0; i < OUTAGE_CHANGES; i++) {
-      sleep(options.outage / OUTAGE_CHANGES);
+      sleep(options.outageSeconds / OUTAGE_CHANGES);
       discovery.change(List.of(toggleDraining()));
     }
     return 0;
   }
 
-  /** Changes of the outage count from its end, as no balancer could have them before. */
+  /**
+   * Ends the outage. The propagation times of changes during the outage are measured from its end,
+   * as no balancer could receive them earlier.
+   */
   private int recover() throws InterruptedException {
-    if (!options.keepsHistory) {
+    if (!options.keepHistory) {
       discovery.dropHistory();
     }
     long version = discovery.change(List.of(toggleDraining()));
     recorder.restartPropagation();
-    discovery.mode(DiscoveryStandIn.Mode.ANSWERING);
+    discovery.setMode(FakeDiscoveryService.Mode.ANSWERING);
     return awaitVersion(version);
   }
 
@@ -133,20 +144,22 @@
     return fleet.awaitVersion(version, UPDATE_TIMEOUT_SECONDS);
   }
 
-  /** Has a random endpoint begin to drain, or be up again. */
-  private Entry toggleDraining() {
+  /** Changes the state of a random endpoint from up to draining or back. */
+  private EndpointEntry toggleDraining() {
     int index = random.nextInt(entries.size());
-    Entry old = entries.get(index);
-    Entry changed = old.with(old.state().equals("up") ? "draining" : "up", old.startedMillis());
+    EndpointEntry current = entries.get(index);
+    EndpointEntry changed =
+        current.withState(
+            current.state().equals("up") ? "draining" : "up", current.startedMillis());
     entries.set(index, changed);
     return changed;
   }
 
-  private List<Entry> setFirstZoneState(String state, long startedMillis) {
-    List<Entry> changed = new ArrayList<>();
+  private List<EndpointEntry> setFirstZoneState(String state, long startedMillis) {
+    List<EndpointEntry> changed = new ArrayList<>();
     for (int i = 0; i < entries.size(); i++) {
       if (entries.get(i).zone() == 0) {
-        entries.set(i, entries.get(i).with(state, startedMillis));
+        entries.set(i, entries.get(i).withState(state, startedMillis));
         changed.add(entries.get(i));
       }
     }
--- a/src/main/java/loadbalancer/benchmark/DeploymentOptions.java
+++ b/src/main/java/loadbalancer/benchmark/DeploymentOptions.java
@@ -2,28 +2,39 @@
 
 import picocli.CommandLine.Option;
 
-/** Options of every command that measures: the deployment and the seed. */
+/** Options that all measuring commands share: the simulated deployment and the seed. */
 final class DeploymentOptions {
 
   private static final int MAX_ZONES = 100;
 
-  @Option(names = "--zones", defaultValue = "13", description = "Zones (default ${DEFAULT-VALUE}).")
+  @Option(
+      names = "--zones",
+      defaultValue = "13",
+      description = "Number of zones of the endpoints (default ${DEFAULT-VALUE}).")
   int zones;
 
-  @Option(names = "--seed", defaultValue = "1", description = "Seed (default ${DEFAULT-VALUE}).")
+  @Option(
+      names = "--seed",
+      defaultValue = "1",
+      description = "Seed of all random decisions (default ${DEFAULT-VALUE}).")
   long seed;
 
-  /** Null for the command's default. */
-  @Option(names = "--tier", description = "0 where clients arrive, else 1.")
+  /** Null if the option is absent, which selects the default of the command. */
+  @Option(
+      names = "--tier",
+      description =
+          "Tier of the endpoints that balancers send to: 0 for the one that clients reach, else 1"
+              + " (default 0 for calls, 1 for control and processes).")
   Integer tier;
 
+  /** Returns the tier, or a default if the option is absent. */
   int tierOr(int defaultTier) {
     return tier == null ? defaultTier : tier;
   }
 
   /** Throws {@link BenchmarkException} if a value is out of bounds. */
-  void check() {
-    Arguments.requireBetween("--zones", zones, 1, MAX_ZONES);
-    Arguments.requireBetween("--tier", tierOr(0), 0, 1);
+  void validate() {
+    OptionValidator.requireBetween("--zones", zones, 1, MAX_ZONES);
+    OptionValidator.requireBetween("--tier", tierOr(0), 0, 1);
   }
 }
--- a/src/main/java/loadbalancer/benchmark/DiscoveryStandIn.java
+++ b/src/main/java/loadbalancer/benchmark/FakeDiscoveryService.java
@@ -37,92 +37,99 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.benchmark.Fleet.Entry;
-import loadbalancer.benchmark.Traffic.Metric;
+import loadbalancer.benchmark.DiscoveryTraffic.Metric;
+import loadbalancer.benchmark.SyntheticDeployment.EndpointEntry;
 
 /**
- * A stand-in for the discovery service on loopback: full lists, watches with index and wait, deltas
- * and outages. A watch from a version whose changes are no longer kept gets the full list.
- * Balancers call it directly, without the caching agent of a real deployment.
+ * A fake discovery service that listens on loopback. It serves full lists and watches, which it
+ * answers with a delta, and simulates outages. A watch from a version whose changes are no longer
+ * kept gets the full list. Balancers call it directly, without the caching agent of a real
+ * deployment.
  */
-final class DiscoveryStandIn implements AutoCloseable {
+final class FakeDiscoveryService implements AutoCloseable {
 
-  /**
-   * How it treats requests: SILENT reads and never answers them, not even later; REFUSING resets
-   * each new connection.
-   */
+  /** How the service treats requests. */
   enum Mode {
+    /** Answers them. */
     ANSWERING,
+    /** Reads requests and never answers them, not even in a later mode. */
     SILENT,
+    /** Resets all open and new connections. */
     REFUSING
   }
 
-  /** Receives events on the event loop of the stand-in. */
+  /** Receives events on the event loop of the service. */
   interface Listener {
 
-    /** A version exists, and no balancer has been notified of it yet. */
-    void changed(long version);
+    /** A new version exists, which has not been sent to any balancer yet. */
+    void versionCreated(long version);
 
-    /** A request of a real balancer shows that it has applied a version after another one. */
-    void acknowledged(long after, long version);
+    /** A request of a real balancer shows that it has replaced one version by a later one. */
+    void versionAcknowledged(long previousVersion, long version);
   }
 
-  /** The addresses: simulated and real balancers are counted separately. */
+  // Indexes of the listening addresses. Simulated and real balancers use different ones, so that
+  // their traffic is counted separately.
   static final int SIMULATED_BALANCERS = 0;
 
   static final int REAL_BALANCERS = 1;
-  private static final int ADDRESSES = 2;
+  private static final int ADDRESS_COUNT = 2;
   private static final int MAX_REQUEST_BYTES = 8_192;
   private static final int ACCEPT_BACKLOG = 4_096;
 
-  /** Stands for the version of a request for the full list. */
+  /** Used in place of a version for a request that gives none, which asks for the full list. */
   private static final long NO_VERSION = -1;
 
   private static final long MAX_WAIT_MILLIS = 60_000;
 
   private final EventLoop loop;
   private final Listener listener;
-  private final Traffic[] traffic = {new Traffic(), new Traffic()};
+  private final DiscoveryTraffic[] trafficByAddress = {
+    new DiscoveryTraffic(), new DiscoveryTraffic()
+  };
   private final List<Channel> servers = new ArrayList<>();
   private final Set<Channel> openChannels = new HashSet<>();
   private final Set<Watch> watches = new LinkedHashSet<>();
-  private final Map<Integer, Entry> entries = new LinkedHashMap<>();
+  private final Map<Integer, EndpointEntry> entries = new LinkedHashMap<>();
 
-  /** The changes that are kept, by the version that they led to. */
-  private final TreeMap<Long, List<Entry>> history = new TreeMap<>();
+  /** Changed entries by the version that contains the change, for the versions still kept. */
+  private final TreeMap<Long, List<EndpointEntry>> history = new TreeMap<>();
 
-  /** Response bodies at the present version, by the version of the request. */
+  /** Response bodies for the current version, by the version that the request gives. */
   private final Map<Long, ByteBuf> responseBodies = new LinkedHashMap<>();
 
   private long version = 1;
+
+  /** Requests from an older version get the full list. */
   private long oldestVersion = 1;
+
   private Mode mode = Mode.ANSWERING;
 
-  /** A request that waits for a change after a version. */
+  /** A request that waits for a version after the one that it gives. */
   private static final class Watch {
 
     private final Channel channel;
-    private final int address;
-    private final long index;
-    private Future<?> end;
+    private final int addressIndex;
+    private final long sinceVersion;
+    private Future<?> timeout;
 
-    Watch(Channel channel, int address, long index) {
+    Watch(Channel channel, int addressIndex, long sinceVersion) {
       this.channel = channel;
-      this.address = address;
-      this.index = index;
+      this.addressIndex = addressIndex;
+      this.sinceVersion = sinceVersion;
     }
   }
 
-  DiscoveryStandIn(List<Entry> list, Listener listener) {
+  FakeDiscoveryService(List<EndpointEntry> initialEntries, Listener listener) {
     this.listener = listener;
-    list.forEach(entry -> entries.put(entry.number(), entry));
+    initialEntries.forEach(entry -> entries.put(entry.number(), entry));
     loop =
         (EventLoop)
             new MultiThreadIoEventLoopGroup(
                     1, new DefaultThreadFactory("discovery", true), NioIoHandler.newFactory())
                 .next();
-    for (int i = 0; i < ADDRESSES; i++) {
-      int address = i;
+    for (int i = 0; i < ADDRESS_COUNT; i++) {
+      int addressIndex = i;
       servers.add(
           new ServerBootstrap()
               .group(loop, loop)
@@ -133,7 +140,7 @@
                   new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                      onAccepted(channel, address);
+                      onAccepted(channel, addressIndex);
                     }
                   })
               .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -142,24 +149,24 @@
     }
   }
 
-  InetSocketAddress address(int which) {
-    return (InetSocketAddress) servers.get(which).localAddress();
+  InetSocketAddress address(int addressIndex) {
+    return (InetSocketAddress) servers.get(addressIndex).localAddress();
   }
 
   EventLoop loop() {
     return loop;
   }
 
-  Traffic.Snapshot traffic(int which) {
-    return onLoop(() -> traffic[which].snapshot());
+  DiscoveryTraffic.Snapshot traffic(int addressIndex) {
+    return onLoop(() -> trafficByAddress[addressIndex].snapshot());
   }
 
-  /** Changes or removes entries in one version, which it returns. */
-  long change(List<Entry> changed) {
+  /** Creates a version that adds, replaces or removes entries, and returns its number. */
+  long change(List<EndpointEntry> changed) {
     return onLoop(
         () -> {
           version++;
-          for (Entry entry : changed) {
+          for (EndpointEntry entry : changed) {
             if (entry.state().equals("removed")) {
               entries.remove(entry.number());
             } else {
@@ -168,7 +175,7 @@
           }
           history.put(version, List.copyOf(changed));
           releaseResponseBodies();
-          listener.changed(version);
+          listener.versionCreated(version);
           if (mode == Mode.ANSWERING) {
             List.copyOf(watches).forEach(this::respond);
           }
@@ -176,7 +183,9 @@
         });
   }
 
-  /** Drops the changes, as a restart without state does: all balancers get full lists then. */
+  /**
+   * Drops all kept changes, as a restart without state does, so that older versions get full lists.
+   */
   void dropHistory() {
     onLoop(
         () -> {
@@ -187,7 +196,9 @@
         });
   }
 
-  /** Makes a version that all balancers get as a full list. */
+  /**
+   * Creates a version without changes that all balancers get as a full list; returns its number.
+   */
   long resync() {
     return onLoop(
         () -> {
@@ -195,7 +206,7 @@
           history.clear();
           oldestVersion = version;
           releaseResponseBodies();
-          listener.changed(version);
+          listener.versionCreated(version);
           if (mode == Mode.ANSWERING) {
             List.copyOf(watches).forEach(this::respond);
           }
@@ -203,16 +214,16 @@
         });
   }
 
-  void mode(Mode next) {
+  void setMode(Mode newMode) {
     onLoop(
         () -> {
-          mode = next;
-          if (next != Mode.ANSWERING) {
-            watches.forEach(watch -> watch.end.cancel(false));
+          mode = newMode;
+          if (newMode != Mode.ANSWERING) {
+            watches.forEach(watch -> watch.timeout.cancel(false));
             watches.clear();
           }
-          if (next == Mode.REFUSING) {
-            List.copyOf(openChannels).forEach(DiscoveryStandIn::reset);
+          if (newMode == Mode.REFUSING) {
+            List.copyOf(openChannels).forEach(FakeDiscoveryService::reset);
           }
           return null;
         });
@@ -223,15 +234,15 @@
     onLoop(
         () -> {
           servers.forEach(Channel::close);
-          List.copyOf(openChannels).forEach(DiscoveryStandIn::reset);
+          List.copyOf(openChannels).forEach(FakeDiscoveryService::reset);
           releaseResponseBodies();
           return null;
         });
     loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
 
-  private <T> T onLoop(Callable<T> work) {
-    return loop.submit(work).syncUninterruptibly().getNow();
+  private <T> T onLoop(Callable<T> task) {
+    return loop.submit(task).syncUninterruptibly().getNow();
   }
 
   private void releaseResponseBodies() {
@@ -244,36 +255,37 @@
     channel.close();
   }
 
-  private void onAccepted(Channel channel, int address) {
-    traffic[address].count(Metric.CONNECTIONS, 1);
+  private void onAccepted(Channel channel, int addressIndex) {
+    trafficByAddress[addressIndex].count(Metric.CONNECTIONS, 1);
     if (mode == Mode.REFUSING) {
       reset(channel);
       return;
     }
     openChannels.add(channel);
-    channel.closeFuture().addListener(closed -> openChannels.remove(channel));
+    channel.closeFuture().addListener(ignored -> openChannels.remove(channel));
     channel
         .pipeline()
         .addLast(
-            new ByteCounter(traffic[address]),
+            new ByteCounter(trafficByAddress[addressIndex]),
             new HttpServerCodec(),
             new HttpObjectAggregator(MAX_REQUEST_BYTES),
-            new RequestHandler(address));
+            new RequestHandler(addressIndex));
   }
 
   private void respond(Watch watch) {
     watches.remove(watch);
-    watch.end.cancel(false);
-    respond(watch.channel, watch.address, watch.index);
+    watch.timeout.cancel(false);
+    respond(watch.channel, watch.addressIndex, watch.sinceVersion);
   }
 
-  private void respond(Channel channel, int address, long index) {
-    boolean full = index < oldestVersion || index > version;
-    Metric metric = full ? Metric.LISTS : index == version ? Metric.EMPTY_ANSWERS : Metric.DELTAS;
-    traffic[address].count(metric, 1);
+  private void respond(Channel channel, int addressIndex, long sinceVersion) {
+    boolean full = sinceVersion < oldestVersion || sinceVersion > version;
+    Metric metric =
+        full ? Metric.LISTS : sinceVersion == version ? Metric.EMPTY_ANSWERS : Metric.DELTAS;
+    trafficByAddress[addressIndex].count(metric, 1);
     ByteBuf body =
         responseBodies
-            .computeIfAbsent(full ? NO_VERSION : index, this::encodeBody)
+            .computeIfAbsent(full ? NO_VERSION : sinceVersion, this::encodeBody)
             .retainedDuplicate();
     DefaultFullHttpResponse response =
         new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body);
@@ -282,28 +294,28 @@
     channel.writeAndFlush(response);
   }
 
-  private ByteBuf encodeBody(long index) {
-    Map<Integer, Entry> newer = new LinkedHashMap<>();
-    if (index != NO_VERSION) {
+  private ByteBuf encodeBody(long sinceVersion) {
+    Map<Integer, EndpointEntry> changedEntries = new LinkedHashMap<>();
+    if (sinceVersion != NO_VERSION) {
       history
-          .tailMap(index, false)
+          .tailMap(sinceVersion, false)
           .values()
-          .forEach(changes -> changes.forEach(entry -> newer.put(entry.number(), entry)));
+          .forEach(changes -> changes.forEach(entry -> changedEntries.put(entry.number(), entry)));
     }
-    String text =
-        index == NO_VERSION
-            ? Fleet.list(version, true, entries.values())
-            : Fleet.list(version, false, newer.values());
-    return Unpooled.directBuffer(text.length())
-        .writeBytes(text.getBytes(StandardCharsets.US_ASCII));
+    String json =
+        sinceVersion == NO_VERSION
+            ? SyntheticDeployment.listJson(version, true, entries.values())
+            : SyntheticDeployment.listJson(version, false, changedEntries.values());
+    return Unpooled.directBuffer(json.length())
+        .writeBytes(json.getBytes(StandardCharsets.US_ASCII));
   }
 
-  /** Counts the bytes of a connection. */
+  /** Counts the bytes received and sent on a connection. */
   private static final class ByteCounter extends ChannelDuplexHandler {
 
-    private final Traffic traffic;
+    private final DiscoveryTraffic traffic;
 
-    ByteCounter(Traffic traffic) {
+    ByteCounter(DiscoveryTraffic traffic) {
       this.traffic = traffic;
     }
 
@@ -323,59 +335,65 @@
   /** Handles the requests of one connection. */
   private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
-    private final int address;
-    private long last = NO_VERSION;
+    private final int addressIndex;
+
+    /** The version that the previous request on this connection gave. */
+    private long lastVersion = NO_VERSION;
+
     private Watch watch;
 
-    RequestHandler(int address) {
-      this.address = address;
+    RequestHandler(int addressIndex) {
+      this.addressIndex = addressIndex;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-      traffic[address].count(Metric.REQUESTS, 1);
+      trafficByAddress[addressIndex].count(Metric.REQUESTS, 1);
       QueryStringDecoder query = new QueryStringDecoder(request.uri());
       if (!query.path().equals("/catalog/members")) {
         ctx.close();
         return;
       }
-      long index = number(query, "index", NO_VERSION);
-      long wait = Math.min(MAX_WAIT_MILLIS, number(query, "wait", 0));
-      if (address == REAL_BALANCERS && last != NO_VERSION && index > last) {
-        listener.acknowledged(last, index);
+      long sinceVersion = numberOrDefault(query, "index", NO_VERSION);
+      long waitMillis = Math.min(MAX_WAIT_MILLIS, numberOrDefault(query, "wait", 0));
+      if (addressIndex == REAL_BALANCERS
+          && lastVersion != NO_VERSION
+          && sinceVersion > lastVersion) {
+        listener.versionAcknowledged(lastVersion, sinceVersion);
       }
-      last = index;
+      lastVersion = sinceVersion;
       if (mode != Mode.ANSWERING) {
         return;
       }
-      if (index == version && wait > 0) {
-        Watch begun = new Watch(ctx.channel(), address, index);
-        begun.end = loop.schedule(() -> respond(begun), wait, TimeUnit.MILLISECONDS);
-        watch = begun;
-        watches.add(begun);
+      if (sinceVersion == version && waitMillis > 0) {
+        Watch newWatch = new Watch(ctx.channel(), addressIndex, sinceVersion);
+        newWatch.timeout =
+            loop.schedule(() -> respond(newWatch), waitMillis, TimeUnit.MILLISECONDS);
+        watch = newWatch;
+        watches.add(newWatch);
       } else {
-        respond(ctx.channel(), address, index);
+        respond(ctx.channel(), addressIndex, sinceVersion);
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
       if (watch != null) {
-        watch.end.cancel(false);
+        watch.timeout.cancel(false);
         watches.remove(watch);
       }
       ctx.fireChannelInactive();
     }
 
-    private static long number(QueryStringDecoder query, String key, long otherwise) {
+    private static long numberOrDefault(QueryStringDecoder query, String key, long defaultValue) {
       List<String> values = query.parameters().get(key);
-      return values == null ? otherwise : Long.parseLong(values.get(0));
+      return values == null ? defaultValue : Long.parseLong(values.get(0));
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       if (!(cause instanceof IOException)) {
-        System.err.println("discovery's stand-in: " + cause);
+        System.err.println("fake discovery service: connection failed: " + cause);
       }
       ctx.close();
     }
--- a/src/main/java/loadbalancer/benchmark/LeastSquares.java
+++ b/src/main/java/loadbalancer/benchmark/LeastSquares.java
@@ -1,32 +1,34 @@
 package loadbalancer.benchmark;
 
 /**
- * A straight line through points, y = intercept + slope * x, and which part of y's variance it
- * explains.
+ * The straight line y = intercept + slope * x that fits points with the least squared error.
+ *
+ * @param r2 the part of the variance of y that the line explains, 0 to 1
  */
 record LeastSquares(double slope, double intercept, double r2) {
 
-  /** Throws {@link BenchmarkException} where the points have fewer than two different x. */
+  /** Throws {@link BenchmarkException} if the points have fewer than two different x values. */
   static LeastSquares fit(double[] x, double[] y) {
-    int n = x.length;
+    int count = x.length;
     double meanX = 0;
     double meanY = 0;
-    for (int i = 0; i < n; i++) {
-      meanX += x[i] / n;
-      meanY += y[i] / n;
+    for (int i = 0; i < count; i++) {
+      meanX += x[i] / count;
+      meanY += y[i] / count;
     }
-    double xx = 0;
-    double xy = 0;
-    double yy = 0;
-    for (int i = 0; i < n; i++) {
-      xx += (x[i] - meanX) * (x[i] - meanX);
-      xy += (x[i] - meanX) * (y[i] - meanY);
-      yy += (y[i] - meanY) * (y[i] - meanY);
+    double sumXx = 0;
+    double sumXy = 0;
+    double sumYy = 0;
+    for (int i = 0; i < count; i++) {
+      sumXx += (x[i] - meanX) * (x[i] - meanX);
+      sumXy += (x[i] - meanX) * (y[i] - meanY);
+      sumYy += (y[i] - meanY) * (y[i] - meanY);
     }
-    if (xx == 0) {
-      throw new BenchmarkException("a slope needs two different sizes at least");
+    if (sumXx == 0) {
+      throw new BenchmarkException(
+          "fitting a line needs points with at least two different x values");
     }
-    double slope = xy / xx;
-    return new LeastSquares(slope, meanY - slope * meanX, yy == 0 ? 1 : slope * xy / yy);
+    double slope = sumXy / sumXx;
+    return new LeastSquares(slope, meanY - slope * meanX, sumYy == 0 ? 1 : slope * sumXy / sumYy);
   }
 }
--- a/src/main/java/loadbalancer/benchmark/PhaseRecorder.java
+++ b/src/main/java/loadbalancer/benchmark/PhaseRecorder.java
@@ -7,9 +7,9 @@
 import java.lang.management.ManagementFactory;
 import java.util.List;
 import java.util.Locale;
-import loadbalancer.benchmark.Traffic.Metric;
+import loadbalancer.benchmark.DiscoveryTraffic.Metric;
 
-/** Runs the phases of the control benchmark and prints what each has cost as one point. */
+/** Runs the phases of the command {@code control} and prints what each has cost as a point. */
 final class PhaseRecorder {
 
   private static final double NANOS_PER_SECOND = 1e9;
@@ -18,24 +18,25 @@
   private static final double BYTES_PER_KB = 1_024;
 
   private final ControlCommand options;
-  private final DiscoveryStandIn discovery;
-  private final SimulatedFleet fleet;
+  private final FakeDiscoveryService discovery;
+  private final SimulatedBalancerFleet fleet;
   private final List<BalancerProcess> realBalancers;
-  private final Propagation simulatedPropagation;
-  private final Propagation realPropagation;
+  private final PropagationTimes simulatedTimes;
+  private final PropagationTimes realTimes;
   private final PrintStream out;
 
-  /** One phase; returns how many balancers are behind at its end. */
+  /** A phase of the command {@code control}. */
   interface Phase {
 
+    /** Runs the phase; returns how many simulated balancers lack the latest version at its end. */
     int run() throws InterruptedException, IOException;
   }
 
-  /** The counters at the beginning of a phase; processor times in ns and, of real ones, in ms. */
+  /** The counters at the beginning of a phase, from which those at its end are subtracted. */
   private record Baseline(
-      long atNanos,
-      Traffic.Snapshot simulatedTraffic,
-      Traffic.Snapshot realTraffic,
+      long startNanos,
+      DiscoveryTraffic.Snapshot simulatedTraffic,
+      DiscoveryTraffic.Snapshot realTraffic,
       long simulatedCpuNanos,
       double realCpuMillis,
       long fullLists,
@@ -44,80 +45,86 @@
 
   PhaseRecorder(
       ControlCommand options,
-      DiscoveryStandIn discovery,
-      SimulatedFleet fleet,
+      FakeDiscoveryService discovery,
+      SimulatedBalancerFleet fleet,
       List<BalancerProcess> realBalancers,
-      Propagation simulatedPropagation,
-      Propagation realPropagation,
+      PropagationTimes simulatedTimes,
+      PropagationTimes realTimes,
       PrintStream out) {
     this.options = options;
     this.discovery = discovery;
     this.fleet = fleet;
     this.realBalancers = realBalancers;
-    this.simulatedPropagation = simulatedPropagation;
-    this.realPropagation = realPropagation;
+    this.simulatedTimes = simulatedTimes;
+    this.realTimes = realTimes;
     this.out = out;
   }
 
-  /** Runs a phase and prints its point. */
-  void record(String name, Phase phase) throws InterruptedException, IOException {
+  /** Runs a phase and prints its point. Propagation times are those of changes in this phase. */
+  void record(String phaseName, Phase phase) throws InterruptedException, IOException {
     resetPropagation();
-    measure(name, phase).print(out);
+    measure(phaseName, phase).print(out);
   }
 
-  /** Likewise, and reports the heap that the phase has added. */
-  void recordWithHeap(String name, Phase phase) throws InterruptedException, IOException {
+  /** Runs a phase as {@link #record} does, and reports also by how much the used heap has grown. */
+  void recordWithHeap(String phaseName, Phase phase) throws InterruptedException, IOException {
     long heapBefore = usedHeapBytes();
     resetPropagation();
-    Point point = measure(name, phase);
+    MeasuredPoint point = measure(phaseName, phase);
     point.results.put(
         "heap_kb_per_balancer",
-        Point.rounded((usedHeapBytes() - heapBefore) / BYTES_PER_KB / options.balancers));
+        MeasuredPoint.rounded(
+            (usedHeapBytes() - heapBefore) / BYTES_PER_KB / options.balancerCount));
     point.print(out);
   }
 
-  /** Likewise without heap, and counts also changes of the phase before it. */
-  void recordRecovery(String name, Phase phase) throws InterruptedException, IOException {
-    measure(name, phase).print(out);
+  /**
+   * Runs a phase and prints its point. Propagation times include those of changes in the phase
+   * before it, the outage.
+   */
+  void recordRecovery(String phaseName, Phase phase) throws InterruptedException, IOException {
+    measure(phaseName, phase).print(out);
   }
 
-  /** Counts the time of all changes so far from now on. */
+  /** Measures the propagation of all changes recorded so far from now on, as if just made. */
   void restartPropagation() {
-    simulatedPropagation.restart(System.nanoTime());
-    realPropagation.restart(System.nanoTime());
+    simulatedTimes.restart(System.nanoTime());
+    realTimes.restart(System.nanoTime());
   }
 
   private void resetPropagation() {
-    simulatedPropagation.reset();
-    realPropagation.reset();
+    simulatedTimes.reset();
+    realTimes.reset();
   }
 
-  private Point measure(String name, Phase phase) throws InterruptedException, IOException {
-    Baseline before = baseline();
-    int behind = phase.run();
-    Point point = new Point("control", options.deployment.seed);
-    writeParameters(point.parameters, name);
+  private MeasuredPoint measure(String phaseName, Phase phase)
+      throws InterruptedException, IOException {
+    Baseline baseline = captureBaseline();
+    int outdatedCount = phase.run();
+    MeasuredPoint point = new MeasuredPoint("control", options.deployment.seed);
+    writeParameters(point.parameters, phaseName);
     ObjectNode results = point.results;
-    double seconds = (System.nanoTime() - before.atNanos()) / NANOS_PER_SECOND;
-    int running = fleet.runningCount();
-    results.put("seconds", Point.rounded(seconds));
-    results.put("running", running);
-    results.put("missing", behind);
-    results.put("lists_taken", fleet.fullListsApplied() - before.fullLists());
-    results.put("deltas_taken", fleet.deltasApplied() - before.deltas());
-    results.put("calls_failed", fleet.failedCalls() - before.failedCalls());
-    double cpuMicros = (fleet.cpuNanos() - before.simulatedCpuNanos()) / NANOS_PER_MICRO;
-    results.put("cpu_us", Point.rounded(cpuMicros));
-    results.put("cpu_us_per_balancer", Point.rounded(cpuMicros / Math.max(1, running)));
-    simulatedPropagation.write(results.putObject("taking_in"));
-    writeTraffic(
+    double seconds = (System.nanoTime() - baseline.startNanos()) / NANOS_PER_SECOND;
+    int runningCount = fleet.runningCount();
+    results.put("seconds", MeasuredPoint.rounded(seconds));
+    results.put("running", runningCount);
+    results.put("missing", outdatedCount);
+    results.put("lists_taken", fleet.fullListsApplied() - baseline.fullLists());
+    results.put("deltas_taken", fleet.deltasApplied() - baseline.deltas());
+    results.put("calls_failed", fleet.failedCalls() - baseline.failedCalls());
+    double cpuMicros = (fleet.cpuNanos() - baseline.simulatedCpuNanos()) / NANOS_PER_MICRO;
+    results.put("cpu_us", MeasuredPoint.rounded(cpuMicros));
+    results.put(
+        "cpu_us_per_balancer", MeasuredPoint.rounded(cpuMicros / Math.max(1, runningCount)));
+    simulatedTimes.write(results.putObject("taking_in"));
+    writeDiscoveryTraffic(
         results.putObject("discovery"),
-        before.simulatedTraffic(),
-        DiscoveryStandIn.SIMULATED_BALANCERS,
+        baseline.simulatedTraffic(),
+        FakeDiscoveryService.SIMULATED_BALANCERS,
         seconds,
-        running);
-    if (options.real > 0) {
-      writeRealBalancers(results.putObject("real_balancers"), before, seconds);
+        runningCount);
+    if (options.realBalancerCount > 0) {
+      writeRealBalancers(results.putObject("real_balancers"), baseline, seconds);
     }
     return point;
   }
@@ -125,36 +132,36 @@
   private void writeParameters(ObjectNode parameters, String phase) {
     parameters
         .put("phase", phase)
-        .put("balancers", options.balancers)
-        .put("list", options.list)
-        .put("real", options.real)
+        .put("balancers", options.balancerCount)
+        .put("list", options.listLength)
+        .put("real", options.realBalancerCount)
         .put("zones", options.deployment.zones)
         .put("tier", options.tier())
-        .put("loops", options.loops)
-        .put("changes_a_day", options.changesADay)
-        .put("outage_s", options.outage)
-        .put("refuse", options.refuse)
-        .put("keeps_history", options.keepsHistory);
+        .put("loops", options.loopCount)
+        .put("changes_a_day", options.changesPerDay)
+        .put("outage_s", options.outageSeconds)
+        .put("refuse", options.refuseConnections)
+        .put("keeps_history", options.keepHistory);
   }
 
-  private void writeRealBalancers(ObjectNode results, Baseline before, double seconds)
+  private void writeRealBalancers(ObjectNode results, Baseline baseline, double seconds)
       throws IOException {
-    realPropagation.write(results.putObject("taking_in"));
-    double cpuMillis = realCpuMillis() - before.realCpuMillis();
-    results.put("cpu_us_per_balancer", cpuMillis * MICROS_PER_MILLI / options.real);
-    writeTraffic(
+    realTimes.write(results.putObject("taking_in"));
+    double cpuMillis = realCpuMillis() - baseline.realCpuMillis();
+    results.put("cpu_us_per_balancer", cpuMillis * MICROS_PER_MILLI / options.realBalancerCount);
+    writeDiscoveryTraffic(
         results.putObject("discovery"),
-        before.realTraffic(),
-        DiscoveryStandIn.REAL_BALANCERS,
+        baseline.realTraffic(),
+        FakeDiscoveryService.REAL_BALANCERS,
         seconds,
-        options.real);
+        options.realBalancerCount);
   }
 
-  private Baseline baseline() throws IOException {
+  private Baseline captureBaseline() throws IOException {
     return new Baseline(
         System.nanoTime(),
-        discovery.traffic(DiscoveryStandIn.SIMULATED_BALANCERS),
-        discovery.traffic(DiscoveryStandIn.REAL_BALANCERS),
+        discovery.traffic(FakeDiscoveryService.SIMULATED_BALANCERS),
+        discovery.traffic(FakeDiscoveryService.REAL_BALANCERS),
         fleet.cpuNanos(),
         realCpuMillis(),
         fleet.fullListsApplied(),
@@ -175,23 +182,31 @@
     return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
   }
 
-  /** Writes totals, the peak second, means per balancer and second, and each second's sum. */
-  private void writeTraffic(
-      ObjectNode results, Traffic.Snapshot before, int address, double seconds, int balancers) {
-    Traffic.Snapshot after = discovery.traffic(address);
+  /**
+   * Writes the total and the highest count in one second of each metric; for some also the mean per
+   * balancer and second, and, of simulated balancers, the count in each second.
+   */
+  private void writeDiscoveryTraffic(
+      ObjectNode results,
+      DiscoveryTraffic.Snapshot baseline,
+      int addressIndex,
+      double seconds,
+      int balancerCount) {
+    DiscoveryTraffic.Snapshot current = discovery.traffic(addressIndex);
     for (Metric metric : Metric.values()) {
-      String name = metric.name().toLowerCase(Locale.ROOT);
-      long total = after.total(metric) - before.total(metric);
-      results.put(name, total);
-      results.put(name + "_peak_a_second", after.peak(before, metric));
+      String metricKey = metric.name().toLowerCase(Locale.ROOT);
+      long total = current.total(metric) - baseline.total(metric);
+      results.put(metricKey, total);
+      results.put(metricKey + "_peak_a_second", current.peak(baseline, metric));
       if (metric == Metric.REQUESTS || metric == Metric.BYTES_IN || metric == Metric.BYTES_OUT) {
         results.put(
-            name + "_per_balancer_second", Point.rounded(total / seconds / Math.max(1, balancers)));
+            metricKey + "_per_balancer_second",
+            MeasuredPoint.rounded(total / seconds / Math.max(1, balancerCount)));
       }
-      if (address == DiscoveryStandIn.SIMULATED_BALANCERS
+      if (addressIndex == FakeDiscoveryService.SIMULATED_BALANCERS
           && (metric == Metric.REQUESTS || metric == Metric.BYTES_OUT)) {
-        ArrayNode eachSecond = results.putArray(name + "_each_second");
-        for (long second : after.since(before, metric)) {
+        ArrayNode eachSecond = results.putArray(metricKey + "_each_second");
+        for (long second : current.since(baseline, metric)) {
           eachSecond.add(second);
         }
       }
--- a/src/main/java/loadbalancer/benchmark/ProcessesCommand.java
+++ b/src/main/java/loadbalancer/benchmark/ProcessesCommand.java
@@ -7,86 +7,101 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLongArray;
-import loadbalancer.benchmark.Fleet.Entry;
+import loadbalancer.benchmark.SyntheticDeployment.EndpointEntry;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
 /**
- * Measures real balancers, started by the deploy file's {@code run}, against list length: time and
- * processor time until ready, and memory at rest, after further full lists and with client
- * connections open.
+ * Measures real balancers, started with the command {@code run} of the deploy file, with endpoint
+ * lists of different lengths: time and processor time until they are ready, processor time per
+ * further full list, and memory at rest, after these lists and with open client connections.
  */
 @Command(
     name = "processes",
-    description = "Measures start and memory of real balancers.",
+    description =
+        "Measures start time, processor time and memory of real balancer processes, against the"
+            + " length of the list.",
     mixinStandardHelpOptions = true)
 final class ProcessesCommand implements Callable<Integer> {
 
   private static final int DEFAULT_TIER = 1;
   private static final int MAX_LIST_LENGTH = 20_000;
   private static final double NANOS_PER_SECOND = 1e9;
+
+  /**
+   * Bound of discovery's versions in a run: the first, and one per resync, of which 100 are
+   * allowed.
+   */
   private static final int MAX_VERSIONS = 1_000;
+
   private static final long POLL_INTERVAL_MILLIS = 5;
 
-  /** The time before memory is read, as the first second still loads classes. */
+  /** The wait before memory is read, as a balancer still loads classes in its first second. */
   private static final long SETTLE_MILLIS = 1_500;
 
   @Option(
       names = "--lists",
       split = ",",
       defaultValue = "10,100,1000,4000",
-      description = "Lengths of the list.")
-  private List<Integer> lists;
+      description =
+          "Numbers of endpoints in the list, each measured on its own (default ${DEFAULT-VALUE}).")
+  private List<Integer> listLengths;
 
-  @Option(names = "--count", defaultValue = "3", description = "Balancers that start together.")
-  private int count;
+  @Option(
+      names = "--count",
+      defaultValue = "3",
+      description = "Number of balancers that start at the same time (default ${DEFAULT-VALUE}).")
+  private int balancerCount;
 
   @Option(
       names = "--resyncs",
       defaultValue = "5",
-      description = "Full lists that come after the first.")
+      description =
+          "Number of full lists that discovery sends after the first (default ${DEFAULT-VALUE}).")
   private int resyncs;
 
   @Option(
       names = "--connections",
       split = ",",
       defaultValue = "0",
-      description = "Client connections open at each, one number after another, upwards.")
-  private List<Integer> connections;
+      description =
+          "Numbers of client connections to each balancer at which memory is read, in ascending"
+              + " order (default ${DEFAULT-VALUE}).")
+  private List<Integer> connectionCounts;
 
   @Mixin private DeploymentOptions deployment;
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    Arguments.requireEachBetween("--lists", lists, 1, MAX_LIST_LENGTH);
-    Arguments.requireBetween("--count", count, 1, 64);
-    Arguments.requireBetween("--resyncs", resyncs, 0, 100);
-    Arguments.requireEachBetween("--connections", connections, 0, 300);
-    deployment.check();
-    Machine.requireCapacity(0, count);
-    for (int length : lists) {
-      measure(length).print(System.out);
+    OptionValidator.requireEachBetween("--lists", listLengths, 1, MAX_LIST_LENGTH);
+    OptionValidator.requireBetween("--count", balancerCount, 1, 64);
+    OptionValidator.requireBetween("--resyncs", resyncs, 0, 100);
+    OptionValidator.requireEachBetween("--connections", connectionCounts, 0, 300);
+    deployment.validate();
+    BenchmarkMachine.requireCapacity(0, balancerCount);
+    for (int listLength : listLengths) {
+      measure(listLength).print(System.out);
     }
     return 0;
   }
 
-  private Point measure(int length) throws IOException, InterruptedException {
-    Point point = new Point("processes", deployment.seed);
+  private MeasuredPoint measure(int listLength) throws IOException, InterruptedException {
+    MeasuredPoint point = new MeasuredPoint("processes", deployment.seed);
     int tier = deployment.tierOr(DEFAULT_TIER);
     point
         .parameters
-        .put("list", length)
-        .put("count", count)
+        .put("list", listLength)
+        .put("count", balancerCount)
         .put("resyncs", resyncs)
         .put("zones", deployment.zones)
         .put("tier", tier);
-    List<Entry> entries = Fleet.entries(length, deployment.zones);
-    Acknowledgements acknowledged = new Acknowledgements();
-    try (DiscoveryStandIn discovery = new DiscoveryStandIn(entries, acknowledged)) {
+    List<EndpointEntry> entries = SyntheticDeployment.entries(listLength, deployment.zones);
+    Acknowledgements acknowledgements = new Acknowledgements();
+    try (FakeDiscoveryService discovery = new FakeDiscoveryService(entries, acknowledgements)) {
       List<BalancerProcess> balancers =
           BalancerProcess.start(
-              count,
+              balancerCount,
               BalancerProcess.readRunCommand(),
               discovery,
               deployment.seed,
@@ -94,7 +109,7 @@
               deployment.zones);
       try {
         measureStart(point, balancers);
-        measureResyncs(point, balancers, discovery, acknowledged);
+        measureResyncs(point, balancers, discovery, acknowledgements);
         measureConnections(point, balancers);
       } finally {
         balancers.forEach(BalancerProcess::close);
@@ -103,121 +118,140 @@
     return point;
   }
 
-  private static void measureStart(Point point, List<BalancerProcess> balancers)
+  private static void measureStart(MeasuredPoint point, List<BalancerProcess> balancers)
       throws IOException, InterruptedException {
-    Point.putSpread(point.results, "ready_ms", each(balancers, BalancerProcess::readyMillis));
-    Point.putSpread(
-        point.results, "ready_cpu_ms", each(balancers, BalancerProcess::readyCpuMillis));
+    MeasuredPoint.putSpread(
+        point.results, "ready_ms", readAll(balancers, BalancerProcess::readyMillis));
+    MeasuredPoint.putSpread(
+        point.results, "ready_cpu_ms", readAll(balancers, BalancerProcess::readyCpuMillis));
     TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
     putMemory(point, "rest", balancers);
   }
 
   private void measureResyncs(
-      Point point,
+      MeasuredPoint point,
       List<BalancerProcess> balancers,
-      DiscoveryStandIn discovery,
-      Acknowledgements acknowledged)
+      FakeDiscoveryService discovery,
+      Acknowledgements acknowledgements)
       throws IOException, InterruptedException {
-    double[] cpuMillis = each(balancers, BalancerProcess::cpuMillis);
+    // First the totals before the resyncs, then the processor time per resync.
+    double[] cpuMillis = readAll(balancers, BalancerProcess::cpuMillis);
     double slowestMillis = 0;
     for (int i = 0; i < resyncs; i++) {
-      slowestMillis = Math.max(slowestMillis, resync(discovery, acknowledged));
+      slowestMillis = Math.max(slowestMillis, resync(discovery, acknowledgements));
     }
-    double[] after = each(balancers, BalancerProcess::cpuMillis);
+    double[] cpuAfter = readAll(balancers, BalancerProcess::cpuMillis);
     for (int i = 0; i < cpuMillis.length; i++) {
-      cpuMillis[i] = (after[i] - cpuMillis[i]) / Math.max(1, resyncs);
+      cpuMillis[i] = (cpuAfter[i] - cpuMillis[i]) / Math.max(1, resyncs);
     }
     point.results.put("resync_slowest_ms", slowestMillis);
-    Point.putSpread(point.results, "resync_cpu_ms", cpuMillis);
+    MeasuredPoint.putSpread(point.results, "resync_cpu_ms", cpuMillis);
     putMemory(point, "resynced", balancers);
   }
 
-  private void measureConnections(Point point, List<BalancerProcess> balancers) throws IOException {
-    List<Socket> open = new ArrayList<>();
+  private void measureConnections(MeasuredPoint point, List<BalancerProcess> balancers)
+      throws IOException {
+    List<Socket> openSockets = new ArrayList<>();
     try {
-      for (int target : connections) {
+      for (int connectionCount : connectionCounts) {
         for (BalancerProcess balancer : balancers) {
-          for (int i = open.size() / count; i < target; i++) {
-            open.add(connect(balancer, i));
+          for (int i = openSockets.size() / balancerCount; i < connectionCount; i++) {
+            openSockets.add(connect(balancer, i));
           }
         }
-        if (target > 0) {
-          putMemory(point, "connections_" + target, balancers);
+        if (connectionCount > 0) {
+          putMemory(point, "connections_" + connectionCount, balancers);
         }
       }
       for (BalancerProcess balancer : balancers) {
         balancer.checkAlive();
       }
     } finally {
-      for (Socket socket : open) {
+      for (Socket socket : openSockets) {
         socket.close();
       }
     }
   }
 
-  private static Socket connect(BalancerProcess balancer, int open) {
+  private static Socket connect(BalancerProcess balancer, int openCount) {
     try {
       return balancer.connectHealthy();
     } catch (IOException e) {
       throw new BenchmarkException(
-          "a balancer with " + open + " connections took no further one: " + e.getMessage());
+          "balancer at "
+              + balancer.address()
+              + " with "
+              + openCount
+              + " client connections accepted no further one: "
+              + e.getMessage());
     }
   }
 
-  /** Sends a full list to all; returns the milliseconds until all have acknowledged it. */
-  private double resync(DiscoveryStandIn discovery, Acknowledgements acknowledged)
+  /**
+   * Sends a full list to all balancers; returns the milliseconds until all have acknowledged it.
+   */
+  private double resync(FakeDiscoveryService discovery, Acknowledgements acknowledgements)
       throws InterruptedException {
-    long begun = System.nanoTime();
+    long startNanos = System.nanoTime();
     long version = discovery.resync();
     double seconds = 0;
-    while (acknowledged.balancers.get((int) version) < count) {
-      seconds = (System.nanoTime() - begun) / NANOS_PER_SECOND;
+    while (acknowledgements.balancerCounts.get((int) version) < balancerCount) {
+      seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
       if (seconds > BalancerProcess.READY_TIMEOUT_SECONDS) {
-        throw new BenchmarkException("a balancer did not take in its list in " + seconds + " s");
+        throw new BenchmarkException(
+            "only "
+                + acknowledgements.balancerCounts.get((int) version)
+                + " of "
+                + balancerCount
+                + " balancers have acknowledged their full list within "
+                + seconds
+                + " s");
       }
       TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
     }
     return seconds * 1_000;
   }
 
-  /** How many balancers have acknowledged each version. */
-  private static final class Acknowledgements implements DiscoveryStandIn.Listener {
+  /** Counts how many balancers have acknowledged each version. */
+  private static final class Acknowledgements implements FakeDiscoveryService.Listener {
 
-    private final AtomicLongArray balancers = new AtomicLongArray(MAX_VERSIONS);
+    private final AtomicLongArray balancerCounts = new AtomicLongArray(MAX_VERSIONS);
 
     @Override
-    public void changed(long version) {
-      // Only acknowledgements are counted.
+    public void versionCreated(long version) {
+      // Only acknowledgements matter.
     }
 
     @Override
-    public void acknowledged(long after, long version) {
-      for (long each = after + 1; each <= version; each++) {
-        balancers.incrementAndGet((int) each);
+    public void versionAcknowledged(long previousVersion, long version) {
+      for (long acknowledged = previousVersion + 1; acknowledged <= version; acknowledged++) {
+        balancerCounts.incrementAndGet((int) acknowledged);
       }
     }
   }
 
-  /** Reads a value of one balancer. */
+  /** A value that is read from a balancer. */
   private interface Measurement {
 
-    double of(BalancerProcess balancer) throws IOException;
+    double read(BalancerProcess balancer) throws IOException;
   }
 
-  private static double[] each(List<BalancerProcess> balancers, Measurement figure)
+  private static double[] readAll(List<BalancerProcess> balancers, Measurement measurement)
       throws IOException {
     double[] values = new double[balancers.size()];
     for (int i = 0; i < values.length; i++) {
-      values[i] = figure.of(balancers.get(i));
+      values[i] = measurement.read(balancers.get(i));
     }
     return values;
   }
 
-  private static void putMemory(Point point, String when, List<BalancerProcess> balancers)
-      throws IOException {
-    Point.putSpread(point.results, when + "_rss_kb", each(balancers, b -> b.memoryKb("VmRSS")));
-    Point.putSpread(
-        point.results, when + "_anonymous_kb", each(balancers, b -> b.memoryKb("RssAnon")));
-    Point.putSpread(point.results, when + "_most_kb", each(balancers, b -> b.memoryKb("VmHWM")));
+  private static void putMemory(
+      MeasuredPoint point, String keyPrefix, List<BalancerProcess> balancers) throws IOException {
+    MeasuredPoint.putSpread(
+        point.results, keyPrefix + "_rss_kb", readAll(balancers, b -> b.memoryKb("VmRSS")));
+    MeasuredPoint.putSpread(
+        point.results, keyPrefix + "_anonymous_kb", readAll(balancers, b -> b.memoryKb("RssAnon")));
+    MeasuredPoint.putSpread(
+        point.results, keyPrefix + "_most_kb", readAll(balancers, b -> b.memoryKb("VmHWM")));
   }
 }
--- a/src/main/java/loadbalancer/benchmark/SimulatedBalancer.java
+++ b/src/main/java/loadbalancer/benchmark/SimulatedBalancer.java
@@ -22,26 +22,28 @@
 import loadbalancer.proxy.logging.ProxyLogger;
 
 /**
- * A balancer without clients: policy and discovery client are those of a {@code ProxyServer}, while
- * thousands of instances share a few event loops. Its only socket is the one to discovery. Confined
- * to its event loop, except for {@link #start}, {@link #stop} and {@link #instanceIndex}.
+ * A balancer without clients. It has the policy and the discovery client of a {@code ProxyServer},
+ * but shares its event loop with many other instances. Its only socket is the connection to
+ * discovery. Confined to its event loop, except for {@link #start}, {@link #stop} and {@link
+ * #instanceIndex}.
  */
-public final class SimulatedBalancer extends UnexpectedActions {
+public final class SimulatedBalancer extends UnexpectedPolicyActions {
 
-  private static final long FAILED_CALL = -1;
+  /** Reported in place of a version for a failed call. */
+  private static final long NO_VERSION = -1;
 
-  /** Receives what an instance has applied, on the event loop of that instance. */
+  /** Is notified of the updates that an instance has applied, on its event loop. */
   public interface Listener {
 
     /**
-     * The policy has applied an update.
+     * The policy has processed an update, or a failed call to discovery.
      *
      * @param version the version of the endpoint list; -1 for a failed call
      */
-    void updateApplied(SimulatedBalancer balancer, EndpointUpdateType type, long version);
+    void updateApplied(SimulatedBalancer balancer, EndpointUpdateType updateType, long version);
   }
 
-  /** A configuration that many instances share but for instance index and seed. */
+  /** A configuration from which those of many instances differ only in instance index and seed. */
   public static final class Template {
 
     private final ProxyConfig config;
@@ -51,9 +53,9 @@
     }
 
     /**
-     * Reads a configuration.
+     * Parses a configuration in JSON.
      *
-     * @throws IllegalArgumentException if {@code serve} would reject it
+     * @throws IllegalArgumentException if a balancer would reject the configuration
      */
     public static Template parse(String json) {
       try {
@@ -65,13 +67,13 @@
       }
     }
 
-    /** The settings of the policy. */
+    /** Returns the settings of the policy, with the instance index of the configuration. */
     public PolicySettings settings() {
       return config.settings();
     }
 
-    /** Reads an endpoint list as a balancer does. */
-    public List<Endpoint> list(byte[] body) throws IOException {
+    /** Parses the body of a response of discovery as a balancer does. */
+    public List<Endpoint> parseEndpoints(byte[] body) throws IOException {
       return new EndpointListParser(config.zones(), config.machineTypes())
           .parse(JsonReader.read(new ByteArrayInputStream(body)))
           .endpoints();
@@ -109,9 +111,9 @@
       int instanceIndex,
       long seed,
       EventLoop loop,
-      ByteBufAllocator memory,
+      ByteBufAllocator allocator,
       Listener listener) {
-    super("without a client");
+    super("in a balancer without clients");
     this.instanceIndex = instanceIndex;
     this.loop = loop;
     this.listener = listener;
@@ -120,32 +122,32 @@
         new DiscoveryClient(
             loop,
             config.discoverySettings(),
-            memory,
+            allocator,
             this::onUpdate,
             () -> {},
             DiscoveryClient.MAX_WATCH_MILLIS);
   }
 
-  /** Starts one on a loop; its watch begins as that of {@code ProxyServer} does. */
+  /** Starts an instance on an event loop; it begins its watch as {@code ProxyServer} does. */
   public static SimulatedBalancer start(
       Template template,
       int instanceIndex,
       long seed,
       EventLoop loop,
-      ByteBufAllocator memory,
+      ByteBufAllocator allocator,
       Listener listener) {
     SimulatedBalancer balancer =
-        new SimulatedBalancer(template, instanceIndex, seed, loop, memory, listener);
-    loop.execute(balancer::begin);
+        new SimulatedBalancer(template, instanceIndex, seed, loop, allocator, listener);
+    loop.execute(balancer::startPolicy);
     return balancer;
   }
 
-  /** Its number among the instances of its tier. */
+  /** Returns the number of the instance among those of its tier. */
   public int instanceIndex() {
     return instanceIndex;
   }
 
-  /** Ends the watch and ignores all further events. Returns at once. */
+  /** Ends the watch and ignores all further events, without waiting for the event loop. */
   public void stop() {
     loop.execute(
         () -> {
@@ -154,7 +156,7 @@
         });
   }
 
-  private void begin() {
+  private void startPolicy() {
     enqueue(() -> policy.start(clock.now(), config.settings(), config.seed()));
     enqueue(
         () ->
@@ -165,10 +167,10 @@
     }
   }
 
-  private void onUpdate(EndpointUpdateType type, EndpointListUpdate update) {
+  private void onUpdate(EndpointUpdateType updateType, EndpointListUpdate update) {
     List<Endpoint> endpoints = update == null ? List.of() : update.endpoints();
-    enqueue(() -> policy.endpointsChanged(clock.now(), type, endpoints));
-    listener.updateApplied(this, type, update == null ? FAILED_CALL : update.version());
+    enqueue(() -> policy.endpointsChanged(clock.now(), updateType, endpoints));
+    listener.updateApplied(this, updateType, update == null ? NO_VERSION : update.version());
   }
 
   private void enqueue(Runnable event) {
--- a/src/main/java/loadbalancer/benchmark/SimulatedFleet.java
+++ b/src/main/java/loadbalancer/benchmark/SimulatedBalancerFleet.java
@@ -14,44 +14,46 @@
 import java.util.function.IntPredicate;
 import loadbalancer.model.EndpointUpdateType;
 
-/** Many balancers without clients on a few event loops, and the updates they have applied. */
-final class SimulatedFleet implements AutoCloseable {
+/**
+ * Simulated balancers that share a few event loops, and counts of the updates they have applied.
+ */
+final class SimulatedBalancerFleet implements AutoCloseable {
 
   private static final long POLL_INTERVAL_MILLIS = 5;
 
   private final SimulatedBalancer.Template template;
   private final long seed;
-  private final Propagation propagation;
+  private final PropagationTimes propagationTimes;
   private final List<EventLoop> loops = new ArrayList<>();
-  private final long[] threads;
+  private final long[] threadIds;
   private final MultiThreadIoEventLoopGroup group;
   private final SimulatedBalancer[] balancers;
 
-  /** The version that each balancer has; -1 for a stopped one. */
+  /** The version that each balancer has: 0 before its first list, -1 if it is not running. */
   private final AtomicLongArray versions;
 
   private final AtomicLong failedCalls = new AtomicLong();
   private final AtomicLong fullListsApplied = new AtomicLong();
   private final AtomicLong deltasApplied = new AtomicLong();
 
-  SimulatedFleet(
+  SimulatedBalancerFleet(
       SimulatedBalancer.Template template,
       int count,
       int loopCount,
       long seed,
-      Propagation propagation) {
+      PropagationTimes propagationTimes) {
     this.template = template;
     this.seed = seed;
-    this.propagation = propagation;
+    this.propagationTimes = propagationTimes;
     group =
         new MultiThreadIoEventLoopGroup(
             loopCount,
             new DefaultThreadFactory("simulated-balancers", true),
             NioIoHandler.newFactory());
-    threads = new long[loopCount];
+    threadIds = new long[loopCount];
     for (int i = 0; i < loopCount; i++) {
       loops.add((EventLoop) group.next());
-      threads[i] =
+      threadIds[i] =
           loops.get(i).submit(() -> Thread.currentThread().getId()).syncUninterruptibly().getNow();
     }
     balancers = new SimulatedBalancer[count];
@@ -61,10 +63,10 @@
     }
   }
 
-  /** Starts the balancers at the positions. */
-  void start(IntPredicate which) {
+  /** Starts the balancers with the matching instance indexes. */
+  void start(IntPredicate filter) {
     for (int i = 0; i < balancers.length; i++) {
-      if (which.test(i)) {
+      if (filter.test(i)) {
         versions.set(i, 0);
         balancers[i] =
             SimulatedBalancer.start(
@@ -78,65 +80,69 @@
     }
   }
 
-  /** Stops the balancers at the positions. */
-  void stop(IntPredicate which) {
+  /** Stops the balancers with the matching instance indexes. */
+  void stop(IntPredicate filter) {
     for (int i = 0; i < balancers.length; i++) {
-      if (which.test(i) && versions.getAndSet(i, -1) >= 0) {
+      if (filter.test(i) && versions.getAndSet(i, -1) >= 0) {
         balancers[i].stop();
       }
     }
   }
 
   private void onUpdateApplied(
-      SimulatedBalancer balancer, EndpointUpdateType change, long version) {
-    long now = System.nanoTime();
-    int position = balancer.instanceIndex();
-    if (change == EndpointUpdateType.FAILED) {
+      SimulatedBalancer balancer, EndpointUpdateType updateType, long version) {
+    long nowNanos = System.nanoTime();
+    int index = balancer.instanceIndex();
+    if (updateType == EndpointUpdateType.FAILED) {
       failedCalls.incrementAndGet();
       return;
     }
-    long before = versions.get(position);
-    if (before < 0 || balancers[position] != balancer) {
+    long previousVersion = versions.get(index);
+    // The balancer has been stopped, or replaced by another instance with the same index.
+    if (previousVersion < 0 || balancers[index] != balancer) {
       return;
     }
-    versions.set(position, version);
-    if (change == EndpointUpdateType.FULL) {
+    versions.set(index, version);
+    if (updateType == EndpointUpdateType.FULL) {
       fullListsApplied.incrementAndGet();
-    } else if (version > before) {
+    } else if (version > previousVersion) {
       deltasApplied.incrementAndGet();
     }
-    propagation.recordApplied(before, version, now);
+    propagationTimes.recordApplied(previousVersion, version, nowNanos);
   }
 
-  /** Waits until all have a version, up to a timeout; returns how many don't. */
-  int awaitVersion(long version, double seconds) throws InterruptedException {
-    long end = System.nanoTime() + (long) (seconds * 1e9);
-    int missing = countBehind(version);
-    while (missing > 0 && System.nanoTime() < end) {
+  /**
+   * Waits until all running balancers have a version or a later one, up to a timeout. Returns how
+   * many do not have it then.
+   */
+  int awaitVersion(long version, double timeoutSeconds) throws InterruptedException {
+    long deadlineNanos = System.nanoTime() + (long) (timeoutSeconds * 1e9);
+    int outdatedCount = countOutdated(version);
+    while (outdatedCount > 0 && System.nanoTime() < deadlineNanos) {
       TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
-      missing = countBehind(version);
+      outdatedCount = countOutdated(version);
     }
-    return missing;
+    return outdatedCount;
   }
 
-  private int countBehind(long version) {
-    int missing = 0;
+  private int countOutdated(long version) {
+    int outdatedCount = 0;
     for (int i = 0; i < balancers.length; i++) {
-      long has = versions.get(i);
-      missing += has >= 0 && has < version ? 1 : 0;
+      long currentVersion = versions.get(i);
+      outdatedCount += currentVersion >= 0 && currentVersion < version ? 1 : 0;
     }
-    return missing;
+    return outdatedCount;
   }
 
   int runningCount() {
-    int running = 0;
+    int count = 0;
     for (int i = 0; i < balancers.length; i++) {
-      running += versions.get(i) >= 0 ? 1 : 0;
+      count += versions.get(i) >= 0 ? 1 : 0;
     }
-    return running;
+    return count;
   }
 
-  /** Full lists applied so far. */
+  /** Returns the number of full lists that all balancers together have applied. */
   long fullListsApplied() {
     return fullListsApplied.get();
   }
@@ -149,18 +155,18 @@
     return failedCalls.get();
   }
 
-  /** Processor time of the event loops, in nanoseconds. */
+  /** Returns the processor time that the event loop threads have used, in nanoseconds. */
   long cpuNanos() {
-    long sum = 0;
-    for (long thread : threads) {
-      sum += ManagementFactory.getThreadMXBean().getThreadCpuTime(thread);
+    long cpuNanos = 0;
+    for (long threadId : threadIds) {
+      cpuNanos += ManagementFactory.getThreadMXBean().getThreadCpuTime(threadId);
     }
-    return sum;
+    return cpuNanos;
   }
 
   @Override
   public void close() {
-    stop(position -> true);
+    stop(index -> true);
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
 }
--- a/src/main/java/loadbalancer/benchmark/Fleet.java
+++ b/src/main/java/loadbalancer/benchmark/SyntheticDeployment.java
@@ -7,16 +7,19 @@
 import java.util.stream.IntStream;
 
 /**
- * A synthetic deployment: the endpoint list in discovery's form and the configuration of a balancer
- * in front of these endpoints.
+ * Generates a synthetic deployment: an endpoint list, its JSON form as discovery sends it, and the
+ * configuration of a balancer in front of these endpoints.
  */
-final class Fleet {
+final class SyntheticDeployment {
 
-  /** An endpoint as discovery lists it; its number gives its id and machine type. */
-  record Entry(int number, int zone, String state, long startedMillis, String address) {
+  /**
+   * An endpoint as discovery lists it. Its ID, machine type and deduplication group are derived
+   * from its number.
+   */
+  record EndpointEntry(int number, int zone, String state, long startedMillis, String address) {
 
-    /** An endpoint at an address that its number gives, where nothing need listen. */
-    Entry(int number, int zone, String state, long startedMillis) {
+    /** Creates an endpoint with an address derived from its number, at which nothing listens. */
+    EndpointEntry(int number, int zone, String state, long startedMillis) {
       this(
           number,
           zone,
@@ -38,47 +41,49 @@
               startedMillis);
     }
 
-    Entry with(String newState, long newStart) {
-      return new Entry(number, zone, newState, newStart, address);
+    /** Returns a copy with another state and start time. */
+    EndpointEntry withState(String newState, long newStartedMillis) {
+      return new EndpointEntry(number, zone, newState, newStartedMillis, address);
     }
   }
 
   private static final int MACHINE_TYPES = 2;
 
-  /** Endpoints that share the idempotency keys that they have seen. */
+  /** How many endpoints share a record of the idempotency keys that they have received. */
   private static final int ENDPOINTS_PER_DEDUPLICATION_GROUP = 4;
 
-  private Fleet() {}
+  private SyntheticDeployment() {}
 
-  /** A list that distributes endpoints over zones in turn. */
-  static List<Entry> entries(int count, int zones) {
-    List<Entry> entries = new ArrayList<>(count);
-    for (int i = 0; i < count; i++) {
-      entries.add(new Entry(i, i % zones, "up", 0));
+  /** Creates endpoints that are distributed over the zones in turn. */
+  static List<EndpointEntry> entries(int endpointCount, int zoneCount) {
+    List<EndpointEntry> entries = new ArrayList<>(endpointCount);
+    for (int i = 0; i < endpointCount; i++) {
+      entries.add(new EndpointEntry(i, i % zoneCount, "up", 0));
     }
     return entries;
   }
 
-  static String list(long version, boolean full, Iterable<Entry> entries) {
-    List<String> parts = new ArrayList<>();
-    entries.forEach(entry -> parts.add(entry.json()));
+  /** Returns a full list or a delta in JSON, as discovery sends it. */
+  static String listJson(long version, boolean full, Iterable<EndpointEntry> entries) {
+    List<String> entriesJson = new ArrayList<>();
+    entries.forEach(entry -> entriesJson.add(entry.json()));
     return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}"
-        .formatted(version, full, String.join(",", parts));
+        .formatted(version, full, String.join(",", entriesJson));
   }
 
   /**
-   * A balancer's configuration. It knows no endpoint, so the first list comes from discovery; lists
-   * are pushed.
+   * Returns a balancer's configuration in JSON. It contains no endpoints, so that the balancer has
+   * to get its first list from discovery, which it watches from its start.
    */
-  static String config(
-      InetSocketAddress listen,
-      InetSocketAddress discovery,
+  static String configJson(
+      InetSocketAddress listenAddress,
+      InetSocketAddress discoveryAddress,
       long seed,
-      int instances,
+      int instanceCount,
       int tier,
-      int zones) {
+      int zoneCount) {
     String zoneNames =
-        IntStream.range(0, zones)
+        IntStream.range(0, zoneCount)
             .mapToObj(zone -> "\"" + zoneName(zone) + "\"")
             .collect(Collectors.joining(","));
     return """
@@ -103,14 +108,15 @@
                  "prices":{"crossZone":0.1,"probe":0.01,"waste":0.02,"lateFail":0.03,"connection":0.0,
                   "handshake":0.0,"peer":0.0,"registryMode":0.0}}}
                 """
-        .formatted(text(listen), text(discovery), seed, instances, tier, zoneNames);
+        .formatted(
+            format(listenAddress), format(discoveryAddress), seed, instanceCount, tier, zoneNames);
   }
 
   private static String zoneName(int zone) {
     return "z" + zone;
   }
 
-  private static String text(InetSocketAddress address) {
+  private static String format(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 }
--- a/src/main/java/loadbalancer/benchmark/package-info.java
+++ b/src/main/java/loadbalancer/benchmark/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The benchmark: what requests, changes, endpoint lists and outages cost against the sizes of lists
- * and fleets, for capacity planning. It is a program of its own and not part of the serving jar.
+ * The benchmark, for capacity planning: measures what requests, endpoint changes, full endpoint
+ * lists and outages of discovery cost, depending on the length of the list and the number of
+ * balancers. It is a separate program and not part of the serving jar.
  */
 package loadbalancer.benchmark;
--- a/src/test/java/loadbalancer/benchmark/BalancerFleetTest.java
+++ b/src/test/java/loadbalancer/benchmark/BalancerFleetTest.java
@@ -18,17 +18,18 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import loadbalancer.benchmark.ClientStandIn.Kind;
-import loadbalancer.benchmark.ClientStandIn.Outcome;
-import loadbalancer.benchmark.Fleet.Entry;
-import loadbalancer.benchmark.UpstreamStandIn.Received;
+import loadbalancer.benchmark.FakeClient.Outcome;
+import loadbalancer.benchmark.FakeClient.RequestClassName;
+import loadbalancer.benchmark.FakeUpstream.Received;
+import loadbalancer.benchmark.SyntheticDeployment.EndpointEntry;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Several balancer processes on one processor, with upstreams that are partly warming up, during a
- * rolling release and a burst. Each request is accounted for. {@code -Dfleet.requests=N} sets how
- * many each client sends.
+ * Several balancer processes share one processor and balance over upstreams, some of which have
+ * just started, while some upstreams are replaced and a burst of requests arrives. Checks the
+ * response to each request and which upstreams received it. {@code -Dfleet.requests=N} sets how
+ * many requests each regular client sends.
  */
 @Timeout(value = 180, unit = TimeUnit.SECONDS)
 class BalancerFleetTest {
@@ -36,48 +37,60 @@
   private static final int BALANCERS = 12;
   private static final int UPSTREAMS = 30;
 
-  /** Of the upstreams, the first are drained in the release, and the last start cold. */
-  private static final int RELEASED = 6;
+  /** How many of the first upstreams are drained, and replaced by as many new ones. */
+  private static final int REPLACED_UPSTREAMS = 6;
 
-  private static final int COLD = 10;
-  private static final int WARM_SLOTS = 16;
-  private static final int COLD_SLOTS = 6;
+  /** How many of the last upstreams have just started and serve fewer requests at a time. */
+  private static final int COLD_UPSTREAMS = 10;
+
+  /** How many requests an upstream serves at a time. */
+  private static final int WARM_CONCURRENCY = 16;
+
+  private static final int COLD_CONCURRENCY = 6;
   private static final int CLIENTS = 24;
   private static final int REQUESTS = Integer.getInteger("fleet.requests", 60);
 
-  /** Clients that come for the burst only, and how many requests each sends without a pause. */
+  /** Additional clients that make up the burst. */
   private static final int BURST_CLIENTS = 24;
 
+  /** How many requests each client of the burst sends, without a pause between them. */
   private static final int BURST_REQUESTS = 8;
+
   private static final long PAUSE_MILLIS = 30;
   private static final long RETRY_DELAY_MILLIS = 100;
   private static final double DEADLINE_MILLIS = 4_000;
 
-  /** How late after the deadline a response may be. */
+  /** How long after the deadline a response may arrive. */
   private static final double MAX_LATENESS_MILLIS = 500;
 
   private static final double DRAIN_GRACE_MILLIS = 250;
 
-  /** For a new watch to begin and processes to be scheduled on a busy machine. */
+  /**
+   * Allowance for the time until balancers receive a change: a watch may have to be restarted, and
+   * the machine may be busy.
+   */
   private static final double NOTIFICATION_SLACK_MILLIS = 750;
 
-  private static final int SERVED_PERCENT = 50;
+  private static final int MIN_SERVED_PERCENT = 50;
 
   private final EventLoop loop =
       (EventLoop)
           new MultiThreadIoEventLoopGroup(
                   1, new DefaultThreadFactory("upstreams", true), NioIoHandler.newFactory())
               .next();
-  private final List<UpstreamStandIn> upstreams = new ArrayList<>();
+  private final List<FakeUpstream> upstreams = new ArrayList<>();
   private final Queue<Outcome> outcomes = new ConcurrentLinkedQueue<>();
   private final Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
   private final AtomicInteger requestsSent = new AtomicInteger();
-  private final CountDownLatch third = new CountDownLatch(CLIENTS * REQUESTS / 3);
+
+  /** Counts down the first third of the regular clients' requests; the burst begins after it. */
+  private final CountDownLatch firstThird = new CountDownLatch(CLIENTS * REQUESTS / 3);
 
   private static String configuration(
-      int position, InetSocketAddress listen, InetSocketAddress asked) {
-    return Fleet.config(listen, asked, 7 + position, BALANCERS, 0, 1)
-        .replace("\"position\":0", "\"position\":" + position)
+      int balancerIndex, InetSocketAddress listenAddress, InetSocketAddress discoveryAddress) {
+    return SyntheticDeployment.configJson(
+            listenAddress, discoveryAddress, 7 + balancerIndex, BALANCERS, 0, 1)
+        .replace("\"position\":0", "\"position\":" + balancerIndex)
         .replaceAll("\"deadline\":[0-9.]+", "\"deadline\":" + DEADLINE_MILLIS)
         .replaceAll("\"drainGrace\":[0-9.]+", "\"drainGrace\":" + DRAIN_GRACE_MILLIS)
         .replace(
@@ -89,28 +102,33 @@
                 .formatted(DEADLINE_MILLIS));
   }
 
-  private Entry entry(int number, long startedMillis) {
-    return new Entry(number, 0, "up", startedMillis, upstreams.get(number).address());
+  private EndpointEntry entry(int number, long startedMillis) {
+    return new EndpointEntry(number, 0, "up", startedMillis, upstreams.get(number).address());
   }
 
-  /** Sends so many requests, and each once more, as a new one, if it was rejected or failed. */
-  private Thread client(String name, InetSocketAddress balancer, int requests, long pause) {
+  /**
+   * Starts a client that sends requests one after another. After one that was rejected or failed it
+   * sends another of the same class with a transaction ID of its own.
+   */
+  private Thread startClient(
+      String name, InetSocketAddress balancer, int requestCount, long pauseMillis) {
     Thread thread =
         new Thread(
             () -> {
-              try (ClientStandIn client =
-                  new ClientStandIn(
+              try (FakeClient client =
+                  new FakeClient(
                       balancer,
                       DEADLINE_MILLIS,
                       (int) (DEADLINE_MILLIS + 2 * MAX_LATENESS_MILLIS))) {
-                for (int i = 0; i < requests; i++) {
-                  Kind kind = Kind.values()[i % Kind.values().length];
-                  if (send(client, kind, name + "-" + i).status() != 200) {
+                for (int i = 0; i < requestCount; i++) {
+                  RequestClassName requestClass =
+                      RequestClassName.values()[i % RequestClassName.values().length];
+                  if (send(client, requestClass, name + "-" + i).status() != 200) {
                     TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MILLIS);
-                    send(client, kind, name + "-" + i + "-again");
+                    send(client, requestClass, name + "-" + i + "-again");
                   }
-                  third.countDown();
-                  TimeUnit.MILLISECONDS.sleep(pause);
+                  firstThird.countDown();
+                  TimeUnit.MILLISECONDS.sleep(pauseMillis);
                 }
               } catch (Exception | AssertionError e) {
                 failures.add(e);
@@ -121,9 +139,10 @@
     return thread;
   }
 
-  private Outcome send(ClientStandIn client, Kind kind, String transaction) throws Exception {
+  private Outcome send(FakeClient client, RequestClassName requestClass, String transactionId)
+      throws Exception {
     requestsSent.incrementAndGet();
-    Outcome outcome = client.send(kind, transaction);
+    Outcome outcome = client.send(requestClass, transactionId);
     outcomes.add(outcome);
     return outcome;
   }
@@ -131,34 +150,38 @@
   @Test
   void eachRequestHasOneResponseInTimeAndNoneGoesToDrainedUpstream() throws Exception {
     long now = System.currentTimeMillis();
-    List<Entry> entries = new ArrayList<>();
-    for (int i = 0; i < UPSTREAMS + RELEASED; i++) {
-      boolean cold = i >= UPSTREAMS - COLD;
-      upstreams.add(new UpstreamStandIn(loop, cold ? COLD_SLOTS : WARM_SLOTS));
+    List<EndpointEntry> entries = new ArrayList<>();
+    for (int i = 0; i < UPSTREAMS + REPLACED_UPSTREAMS; i++) {
+      boolean cold = i >= UPSTREAMS - COLD_UPSTREAMS;
+      upstreams.add(new FakeUpstream(loop, cold ? COLD_CONCURRENCY : WARM_CONCURRENCY));
       entries.add(entry(i, cold ? now : 0));
     }
-    // One processor for all of them.
-    String run =
+    // All balancers run on one processor.
+    String runCommand =
         ServeCommand.fromClasses("-Xshare:auto").replaceFirst("^exec ", "exec taskset -c 0 ");
     List<Thread> clients = new ArrayList<>();
     List<BalancerProcess> balancers = List.of();
-    long drainedAt;
-    try (DiscoveryStandIn discovery =
-        new DiscoveryStandIn(
-            entries.subList(0, UPSTREAMS), new DiscoveryStandInTest.NoOpListener())) {
-      InetSocketAddress asked = discovery.address(DiscoveryStandIn.REAL_BALANCERS);
+    long drainNanos;
+    try (FakeDiscoveryService discovery =
+        new FakeDiscoveryService(
+            entries.subList(0, UPSTREAMS), new FakeDiscoveryServiceTest.NoOpListener())) {
+      InetSocketAddress discoveryAddress = discovery.address(FakeDiscoveryService.REAL_BALANCERS);
       balancers =
           BalancerProcess.start(
-              BALANCERS, run, (position, listen) -> configuration(position, listen, asked));
+              BALANCERS,
+              runCommand,
+              (balancerIndex, listenAddress) ->
+                  configuration(balancerIndex, listenAddress, discoveryAddress));
       for (int i = 0; i < CLIENTS; i++) {
         clients.add(
-            client("c" + i, balancers.get(i % BALANCERS).address(), REQUESTS, PAUSE_MILLIS));
+            startClient("c" + i, balancers.get(i % BALANCERS).address(), REQUESTS, PAUSE_MILLIS));
       }
-      third.await();
+      firstThird.await();
       for (int i = 0; i < BURST_CLIENTS; i++) {
-        clients.add(client("b" + i, balancers.get(i % BALANCERS).address(), BURST_REQUESTS, 0));
+        clients.add(
+            startClient("b" + i, balancers.get(i % BALANCERS).address(), BURST_REQUESTS, 0));
       }
-      drainedAt = release(discovery, entries);
+      drainNanos = replaceUpstreams(discovery, entries);
       for (Thread client : clients) {
         client.join();
       }
@@ -167,76 +190,95 @@
       }
     } finally {
       balancers.forEach(BalancerProcess::close);
-      upstreams.forEach(UpstreamStandIn::close);
+      upstreams.forEach(FakeUpstream::close);
       loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
     assertEquals(List.of(), List.copyOf(failures));
     checkResponses();
-    checkReceived(drainedAt);
+    checkReceived(drainNanos);
   }
 
-  /** Replaces the first upstreams by new ones; returns when discovery had the change. */
-  private static long release(DiscoveryStandIn discovery, List<Entry> entries) {
-    List<Entry> changed = new ArrayList<>();
-    for (int i = 0; i < RELEASED; i++) {
-      changed.add(entries.get(i).with("draining", 0));
-      changed.add(entries.get(UPSTREAMS + i).with("up", System.currentTimeMillis()));
+  /**
+   * Replaces the first upstreams by new ones; returns the time at which discovery had the change.
+   */
+  private static long replaceUpstreams(
+      FakeDiscoveryService discovery, List<EndpointEntry> entries) {
+    List<EndpointEntry> changed = new ArrayList<>();
+    for (int i = 0; i < REPLACED_UPSTREAMS; i++) {
+      changed.add(entries.get(i).withState("draining", 0));
+      changed.add(entries.get(UPSTREAMS + i).withState("up", System.currentTimeMillis()));
     }
     discovery.change(changed);
     return System.nanoTime();
   }
 
-  /** Each request has one response in time; that of a 200 comes from an upstream. */
+  /** Each request got one response in time; a response with status 200 comes from an upstream. */
   private void checkResponses() {
     assertEquals(requestsSent.get(), outcomes.size());
     int served = 0;
     for (Outcome outcome : outcomes) {
       assertTrue(Set.of(200, 500, 502, 503, 504).contains(outcome.status()), outcome.toString());
-      assertTrue(outcome.millis() <= DEADLINE_MILLIS + MAX_LATENESS_MILLIS, "late: " + outcome);
+      assertTrue(
+          outcome.elapsedMillis() <= DEADLINE_MILLIS + MAX_LATENESS_MILLIS,
+          "more than " + MAX_LATENESS_MILLIS + " ms after the deadline: " + outcome);
       if (outcome.status() == 200) {
-        assertEquals(UpstreamStandIn.responseTo(outcome.transaction()), outcome.body());
+        assertEquals(FakeUpstream.responseTo(outcome.transactionId()), outcome.body());
         served++;
       }
     }
     assertTrue(
-        served * 100 >= outcomes.size() * SERVED_PERCENT,
-        served + " of " + outcomes.size() + " were served");
+        served * 100 >= outcomes.size() * MIN_SERVED_PERCENT,
+        served + " of " + outcomes.size() + " requests were served");
   }
 
-  /** Upstreams received only what clients sent, and nothing after they were drained. */
-  private void checkReceived(long drainedAt) {
-    Map<String, Outcome> sent = new HashMap<>();
-    outcomes.forEach(outcome -> sent.put(outcome.transaction(), outcome));
-    Map<String, Integer> runs = new HashMap<>();
-    double last = 0;
-    int joined = 0;
+  /**
+   * Upstreams received requests as clients had sent them, none after they were drained, and ran no
+   * request of the at-most-once class twice.
+   */
+  private void checkReceived(long drainNanos) {
+    Map<String, Outcome> sentByTransaction = new HashMap<>();
+    outcomes.forEach(outcome -> sentByTransaction.put(outcome.transactionId(), outcome));
+    Map<String, Integer> runsByTransaction = new HashMap<>();
+    double lastAfterDrainMillis = 0;
+    int receivedByNewUpstreams = 0;
     for (int i = 0; i < upstreams.size(); i++) {
       for (Received received : upstreams.get(i).received()) {
-        checkUnchanged(received, sent.get(received.transaction()));
-        runs.merge(received.transaction(), received.ran() ? 1 : 0, Integer::sum);
-        double afterDrain = (received.at() - drainedAt) / ClientStandIn.NANOS_PER_MS;
-        last = Math.max(last, afterDrain);
+        checkUnchanged(received, sentByTransaction.get(received.transactionId()));
+        runsByTransaction.merge(received.transactionId(), received.ran() ? 1 : 0, Integer::sum);
+        double afterDrainMillis = (received.atNanos() - drainNanos) / FakeClient.NANOS_PER_MS;
+        lastAfterDrainMillis = Math.max(lastAfterDrainMillis, afterDrainMillis);
         assertTrue(
-            i >= RELEASED || afterDrain <= DRAIN_GRACE_MILLIS + NOTIFICATION_SLACK_MILLIS,
-            afterDrain + " ms after it began to drain upstream " + i + " got " + received);
-        joined += i >= UPSTREAMS ? 1 : 0;
+            i >= REPLACED_UPSTREAMS
+                || afterDrainMillis <= DRAIN_GRACE_MILLIS + NOTIFICATION_SLACK_MILLIS,
+            "drained upstream "
+                + i
+                + " received a request "
+                + afterDrainMillis
+                + " ms after the change: "
+                + received);
+        receivedByNewUpstreams += i >= UPSTREAMS ? 1 : 0;
       }
     }
     assertTrue(
-        last > DRAIN_GRACE_MILLIS + NOTIFICATION_SLACK_MILLIS, "nothing came after the grace");
-    assertTrue(joined > 0, "no upstream that joined got anything");
+        lastAfterDrainMillis > DRAIN_GRACE_MILLIS + NOTIFICATION_SLACK_MILLIS,
+        "no upstream received a request after the drain grace period");
+    assertTrue(receivedByNewUpstreams > 0, "no new upstream received a request");
     for (Outcome outcome : outcomes) {
-      int ran = runs.getOrDefault(outcome.transaction(), 0);
-      assertTrue(outcome.status() != 200 || ran > 0, "nobody ran " + outcome);
-      assertTrue(outcome.kind() != Kind.CHARGE || ran <= 1, ran + " times ran " + outcome);
+      int timesRun = runsByTransaction.getOrDefault(outcome.transactionId(), 0);
+      assertTrue(outcome.status() != 200 || timesRun > 0, "no upstream ran " + outcome);
+      assertTrue(
+          outcome.requestClass() != RequestClassName.CHARGE || timesRun <= 1,
+          "upstreams ran a request of the at-most-once class " + timesRun + " times: " + outcome);
     }
   }
 
   private static void checkUnchanged(Received received, Outcome outcome) {
-    assertTrue(outcome != null, "nobody sent " + received);
-    assertEquals(outcome.kind() == Kind.READ ? "" : received.transaction(), received.body());
+    assertTrue(outcome != null, "no client sent " + received);
+    assertEquals(
+        outcome.requestClass() == RequestClassName.READ ? "" : received.transactionId(),
+        received.body());
     assertEquals(
-        outcome.kind() == Kind.WRITE ? "key-" + received.transaction() : null,
+        outcome.requestClass() == RequestClassName.WRITE ? "key-" + received.transactionId() : null,
         received.idempotencyKey());
   }
 }
--- a/src/test/java/loadbalancer/benchmark/CommandLineTest.java
+++ b/src/test/java/loadbalancer/benchmark/CommandLineTest.java
@@ -16,7 +16,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The command line and the fit of slopes. */
+/**
+ * The benchmark's command line, the start of balancer processes, and the fit of lines to points.
+ */
 class CommandLineTest {
 
   @TempDir private Path folder;
@@ -26,14 +28,16 @@
   private static Result run(String... args) {
     PrintStream out = System.out;
     PrintStream err = System.err;
-    ByteArrayOutputStream output = new ByteArrayOutputStream();
-    ByteArrayOutputStream errors = new ByteArrayOutputStream();
+    ByteArrayOutputStream capturedOut = new ByteArrayOutputStream();
+    ByteArrayOutputStream capturedErr = new ByteArrayOutputStream();
     try {
-      System.setOut(new PrintStream(output, true, StandardCharsets.UTF_8));
-      System.setErr(new PrintStream(errors, true, StandardCharsets.UTF_8));
+      System.setOut(new PrintStream(capturedOut, true, StandardCharsets.UTF_8));
+      System.setErr(new PrintStream(capturedErr, true, StandardCharsets.UTF_8));
       int status = BenchmarkMain.runCommand(args);
       return new Result(
-          status, output.toString(StandardCharsets.UTF_8), errors.toString(StandardCharsets.UTF_8));
+          status,
+          capturedOut.toString(StandardCharsets.UTF_8),
+          capturedErr.toString(StandardCharsets.UTF_8));
     } finally {
       System.setOut(out);
       System.setErr(err);
@@ -55,7 +59,7 @@
         "fit --x a --y b",
         "fit --x a --y b missing.jsonl"
       })
-  void invalidArgumentsAreOneLineAndAnErrorStatus(String args) {
+  void invalidArgumentsPrintOneLineAndReturnAnErrorStatus(String args) {
     Result result = run(args.isEmpty() ? new String[0] : args.split(" "));
     assertTrue(result.status() != 0, result.toString());
     assertEquals(1, result.err().lines().count(), result.err());
@@ -96,21 +100,25 @@
   }
 
   @Test
-  void failedStartOfBalancerIsOneLineWithItsLastLogLine() {
-    try (DiscoveryStandIn discovery =
-        new DiscoveryStandIn(Fleet.entries(1, 1), new DiscoveryStandInTest.NoOpListener())) {
+  void failedStartOfBalancerIsReportedWithItsLastLogLine() {
+    try (FakeDiscoveryService discovery =
+        new FakeDiscoveryService(
+            SyntheticDeployment.entries(1, 1), new FakeDiscoveryServiceTest.NoOpListener())) {
       BenchmarkException e =
           assertThrows(
               BenchmarkException.class,
               () ->
                   BalancerProcess.start(
                       2, "echo first; echo no such list; exit 3", discovery, 7, 1, 1));
-      assertEquals("a balancer ended with status 3: no such list", e.getMessage());
+      assertTrue(
+          e.getMessage()
+              .matches("balancer process \\d+ exited with status 3; last log line: no such list"),
+          e.getMessage());
     }
   }
 
   @Test
-  void fitNeedsTwoDifferentSizes() {
+  void fitNeedsTwoDifferentXValues() {
     assertThrows(
         BenchmarkException.class,
         () -> FitCommand.describe(Map.of(1L, List.of(new double[] {3, 1}, new double[] {3, 2}))));
--- a/src/test/java/loadbalancer/benchmark/DiscoveryStandInTest.java
+++ b/src/test/java/loadbalancer/benchmark/FakeDiscoveryServiceTest.java
@@ -15,17 +15,18 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.benchmark.Fleet.Entry;
+import loadbalancer.benchmark.SyntheticDeployment.EndpointEntry;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The responses of the stand-in for the discovery service. */
-class DiscoveryStandInTest {
+/** The responses of the fake discovery service. */
+class FakeDiscoveryServiceTest {
 
   private static final long TIMEOUT_SECONDS = 30;
 
-  private final List<Entry> entries = Fleet.entries(6, 2);
-  private final DiscoveryStandIn discovery = new DiscoveryStandIn(entries, new NoOpListener());
+  private final List<EndpointEntry> entries = SyntheticDeployment.entries(6, 2);
+  private final FakeDiscoveryService discovery =
+      new FakeDiscoveryService(entries, new NoOpListener());
   private final HttpClient client = HttpClient.newHttpClient();
 
   @AfterEach
@@ -38,35 +39,35 @@
         URI.create(
             "http://127.0.0.1:%d/catalog/members%s"
                 .formatted(
-                    discovery.address(DiscoveryStandIn.SIMULATED_BALANCERS).getPort(), query));
+                    discovery.address(FakeDiscoveryService.SIMULATED_BALANCERS).getPort(), query));
     return client
         .sendAsync(
             HttpRequest.newBuilder(uri).timeout(Duration.ofSeconds(TIMEOUT_SECONDS)).build(),
             BodyHandlers.ofByteArray())
         .thenApply(
-            answer -> {
+            response -> {
               try {
-                return Point.JSON.readTree(answer.body());
+                return MeasuredPoint.JSON.readTree(response.body());
               } catch (IOException e) {
                 throw new AssertionError(e);
               }
             });
   }
 
-  private static void assertList(JsonNode answer, long version, boolean full, int servers) {
-    assertEquals(version, answer.path("version").asLong(), answer.toString());
-    assertEquals(full, answer.path("full").asBoolean(), answer.toString());
-    assertEquals(servers, answer.path("servers").size(), answer.toString());
+  private static void assertList(JsonNode response, long version, boolean full, int serverCount) {
+    assertEquals(version, response.path("version").asLong(), response.toString());
+    assertEquals(full, response.path("full").asBoolean(), response.toString());
+    assertEquals(serverCount, response.path("servers").size(), response.toString());
   }
 
   @Test
   void watchReturnsChangesAndFullListOmitsRemovedEndpoints() throws Exception {
     assertList(fetch("").get(), 1, true, 6);
     CompletableFuture<JsonNode> watch = fetch("?index=1&wait=60000");
-    discovery.change(List.of(entries.get(2).with("removed", 0)));
-    discovery.change(List.of(entries.get(3).with("draining", 0)));
+    discovery.change(List.of(entries.get(2).withState("removed", 0)));
+    discovery.change(List.of(entries.get(3).withState("draining", 0)));
     JsonNode delta = watch.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-    // If the watch arrives after one of the changes, it returns both.
+    // The delta holds both changes if the request arrives only after the second one.
     assertFalse(delta.path("full").asBoolean());
     assertEquals("removed", delta.path("servers").get(0).path("state").asText());
     assertList(fetch("?index=1&wait=0").get(), 3, false, 2);
@@ -77,7 +78,7 @@
 
   @Test
   void watchFromDroppedOrUnknownVersionReturnsFullList() throws Exception {
-    discovery.change(List.of(entries.get(0).with("draining", 0)));
+    discovery.change(List.of(entries.get(0).withState("draining", 0)));
     discovery.dropHistory();
     assertList(fetch("?index=1&wait=0").get(), 2, true, 6);
     assertList(fetch("?index=9&wait=60000").get(), 2, true, 6);
@@ -90,23 +91,23 @@
   @Test
   void resetsConnectionsWhileRefusingAndAnswersAfterwards() throws Exception {
     CompletableFuture<JsonNode> watch = fetch("?index=1&wait=60000");
-    discovery.mode(DiscoveryStandIn.Mode.REFUSING);
+    discovery.setMode(FakeDiscoveryService.Mode.REFUSING);
     assertThrows(ExecutionException.class, () -> watch.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     assertThrows(ExecutionException.class, () -> fetch("").get());
-    discovery.mode(DiscoveryStandIn.Mode.ANSWERING);
+    discovery.setMode(FakeDiscoveryService.Mode.ANSWERING);
     assertList(fetch("").get(), 1, true, 6);
   }
 
   /** Ignores all events. */
-  static final class NoOpListener implements DiscoveryStandIn.Listener {
+  static final class NoOpListener implements FakeDiscoveryService.Listener {
 
     @Override
-    public void changed(long version) {
+    public void versionCreated(long version) {
       // Ignored.
     }
 
     @Override
-    public void acknowledged(long after, long version) {
+    public void versionAcknowledged(long previousVersion, long version) {
       // Ignored.
     }
   }
--- a/src/test/java/loadbalancer/benchmark/UpstreamStandIn.java
+++ b/src/test/java/loadbalancer/benchmark/FakeUpstream.java
@@ -23,34 +23,36 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An upstream on loopback that serves a few requests at a time, rejects others and records all. A
- * fixed share of those that ran ends in an error, a reset or no response.
+ * An upstream on loopback that runs a limited number of requests at a time, rejects others and
+ * records all of them. A fixed share of the requests that it runs ends in an error, a connection
+ * reset or no response.
  */
-final class UpstreamStandIn implements AutoCloseable {
+final class FakeUpstream implements AutoCloseable {
 
-  /** A complete request, its time by {@link System#nanoTime()}, and whether it ran. */
-  record Received(String transaction, String idempotencyKey, String body, long at, boolean ran) {}
+  /** A received request with the time by {@link System#nanoTime()}, and whether it ran. */
+  record Received(
+      String transactionId, String idempotencyKey, String body, long atNanos, boolean ran) {}
 
   private static final int MAX_REQUEST_BYTES = 64 * 1024;
   private static final long SERVICE_TIME_MILLIS = 10;
 
-  /** One of so many requests that run ends in this way. */
+  // One of this many requests that run ends with an error, a reset or no response.
   private static final int ERROR_EVERY = 11;
 
   private static final int RESET_EVERY = 13;
   private static final int NO_RESPONSE_EVERY = 47;
 
   private final EventLoop loop;
-  private final int slots;
+  private final int maxConcurrency;
   private final Channel server;
   private final Queue<Received> received = new ConcurrentLinkedQueue<>();
-  private int running;
-  private int runs;
+  private int runningCount;
+  private int runCount;
 
-  /** Listens at a free port; at most {@code slots} requests run at a time. */
-  UpstreamStandIn(EventLoop loop, int slots) {
+  /** Listens at a free port; at most {@code maxConcurrency} requests run at a time. */
+  FakeUpstream(EventLoop loop, int maxConcurrency) {
     this.loop = loop;
-    this.slots = slots;
+    this.maxConcurrency = maxConcurrency;
     server =
         new ServerBootstrap()
             .group(loop, loop)
@@ -81,9 +83,9 @@
     return received;
   }
 
-  /** The body of the response to a request. */
-  static String responseTo(String transaction) {
-    return "made for " + transaction;
+  /** Returns the body of the response to the request with a transaction ID. */
+  static String responseTo(String transactionId) {
+    return "response to " + transactionId;
   }
 
   @Override
@@ -95,41 +97,41 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-      String transaction = request.headers().get("X-Txn");
-      boolean ran = running < slots;
+      String transactionId = request.headers().get("X-Txn");
+      boolean ran = runningCount < maxConcurrency;
       received.add(
           new Received(
-              transaction,
+              transactionId,
               request.headers().get("Idempotency-Key"),
               request.content().toString(StandardCharsets.US_ASCII),
               System.nanoTime(),
               ran));
       if (!ran) {
-        DefaultFullHttpResponse busy = response(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
-        busy.headers().set("X-Turned-Away", "1");
-        context.writeAndFlush(busy);
+        DefaultFullHttpResponse rejection = response(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+        rejection.headers().set("X-Turned-Away", "1");
+        context.writeAndFlush(rejection);
         return;
       }
-      running++;
-      runs++;
-      int turn = runs;
+      runningCount++;
+      runCount++;
+      int runNumber = runCount;
       loop.schedule(
           () -> {
-            running--;
-            end(context, transaction, turn);
+            runningCount--;
+            finish(context, transactionId, runNumber);
           },
           SERVICE_TIME_MILLIS,
           TimeUnit.MILLISECONDS);
     }
 
-    private void end(ChannelHandlerContext context, String transaction, int turn) {
-      if (turn % RESET_EVERY == 0) {
+    private void finish(ChannelHandlerContext context, String transactionId, int runNumber) {
+      if (runNumber % RESET_EVERY == 0) {
         context.channel().config().setOption(ChannelOption.SO_LINGER, 0);
         context.close();
-      } else if (turn % ERROR_EVERY == 0) {
+      } else if (runNumber % ERROR_EVERY == 0) {
         context.writeAndFlush(response(HttpResponseStatus.INTERNAL_SERVER_ERROR, ""));
-      } else if (turn % NO_RESPONSE_EVERY != 0) {
-        context.writeAndFlush(response(HttpResponseStatus.OK, responseTo(transaction)));
+      } else if (runNumber % NO_RESPONSE_EVERY != 0) {
+        context.writeAndFlush(response(HttpResponseStatus.OK, responseTo(transactionId)));
       }
     }
 
--- a/src/test/java/loadbalancer/benchmark/ServeCommand.java
+++ b/src/test/java/loadbalancer/benchmark/ServeCommand.java
@@ -5,17 +5,19 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** The deploy file's {@code run} for tests. */
+/** The command {@code run} of the deploy file, adapted for tests. */
 final class ServeCommand {
 
   private ServeCommand() {}
 
   /**
-   * The command with an option in place of the class archive, on the compiled classes and the
-   * libraries of the serving jar, as jar and archive are built after the tests.
+   * Returns the command with the compiled classes and libraries of the serving jar on the class
+   * path instead of the jar, as the jar and its class archive are built only after the tests.
+   *
+   * @param jvmOption replaces the option that names the class archive
    */
-  static String fromClasses(String option) throws IOException {
-    String libraries =
+  static String fromClasses(String jvmOption) throws IOException {
+    String classPath =
         Stream.of(System.getProperty("java.class.path").split(File.pathSeparator))
             .filter(
                 path ->
@@ -24,7 +26,7 @@
                         || path.endsWith("target" + File.separator + "classes"))
             .collect(Collectors.joining(File.pathSeparator));
     return BalancerProcess.readRunCommand()
-        .replaceAll("-XX:SharedArchiveFile=\\S+", option)
-        .replaceAll("-jar \\S+", "-cp " + libraries + " loadbalancer.proxy.Main");
+        .replaceAll("-XX:SharedArchiveFile=\\S+", jvmOption)
+        .replaceAll("-jar \\S+", "-cp " + classPath + " loadbalancer.proxy.Main");
   }
 }
--- a/src/test/java/loadbalancer/benchmark/ServingScopeTest.java
+++ b/src/test/java/loadbalancer/benchmark/ServingScopeTest.java
@@ -11,13 +11,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The serving program neither contains nor loads the benchmark. */
+/** The serving program neither refers to nor loads the benchmark and its libraries. */
 class ServingScopeTest {
 
-  private static final String BENCHMARK =
+  private static final String BENCHMARK_PATTERN =
       "loadbalancer[./]benchmark|picocli|HdrHistogram|SimulatedBalancer";
 
-  /** Limits of a start without class archive: guards against libraries that the benchmark adds. */
+  /**
+   * Limits for a start without class archive. They guard against libraries that the benchmark adds
+   * and that the serving program would load as well.
+   */
   private static final int MAX_CLASSES = 2_800;
 
   private static final double MAX_RESIDENT_KB = 70_800;
@@ -35,30 +38,34 @@
       assertTrue(sources.size() > 20, sources.toString());
       for (Path source : sources) {
         assertFalse(
-            Files.readString(source).matches("(?s).*(" + BENCHMARK + ").*"), source.toString());
+            Files.readString(source).matches("(?s).*(" + BENCHMARK_PATTERN + ").*"),
+            source.toString());
       }
     }
   }
 
-  /** With the flags of the deploy file and the libraries of the serving jar. */
+  /**
+   * Starts a balancer with the JVM flags of the deploy file and the libraries of the serving jar.
+   */
   @Test
   void servingStartsWithoutBenchmarkWithinClassAndMemoryLimits() throws Exception {
-    Path loaded = folder.resolve("loaded");
-    String run = ServeCommand.fromClasses("-Xlog:class+load:file=" + loaded);
-    try (DiscoveryStandIn discovery =
-        new DiscoveryStandIn(Fleet.entries(10, 2), new DiscoveryStandInTest.NoOpListener())) {
-      List<BalancerProcess> balancers = BalancerProcess.start(1, run, discovery, 7, 1, 2);
+    Path classLoadLog = folder.resolve("loaded");
+    String runCommand = ServeCommand.fromClasses("-Xlog:class+load:file=" + classLoadLog);
+    try (FakeDiscoveryService discovery =
+        new FakeDiscoveryService(
+            SyntheticDeployment.entries(10, 2), new FakeDiscoveryServiceTest.NoOpListener())) {
+      List<BalancerProcess> balancers = BalancerProcess.start(1, runCommand, discovery, 7, 1, 2);
       try {
-        double most = balancers.get(0).memoryKb("VmHWM");
-        assertTrue(most < MAX_RESIDENT_KB, most + " KB");
+        double peakKb = balancers.get(0).memoryKb("VmHWM");
+        assertTrue(peakKb < MAX_RESIDENT_KB, "peak resident memory: " + peakKb + " KB");
       } finally {
         balancers.forEach(BalancerProcess::close);
       }
     }
-    List<String> classes = Files.readAllLines(loaded);
+    List<String> classes = Files.readAllLines(classLoadLog);
     assertEquals(
         List.of(),
-        classes.stream().filter(line -> line.matches(".*(" + BENCHMARK + ").*")).toList());
-    assertTrue(classes.size() < MAX_CLASSES, classes.size() + " classes");
+        classes.stream().filter(line -> line.matches(".*(" + BENCHMARK_PATTERN + ").*")).toList());
+    assertTrue(classes.size() < MAX_CLASSES, classes.size() + " classes loaded");
   }
 }
