--- a/src/test/java/loadbalancer/ArchitectureTest.java
+++ b/src/test/java/loadbalancer/ArchitectureTest.java
@@ -8,12 +8,12 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** Which package may know which; docs/ARCHITECTURE.md explains the layers. */
+/** Checks which packages may depend on which others; docs/ARCHITECTURE.md explains the layers. */
 @AnalyzeClasses(packages = "loadbalancer", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
 
   @ArchTest
-  static final ArchRule MODEL_KNOWS_NOTHING_ELSE =
+  static final ArchRule MODEL_DEPENDS_ON_NO_OTHER_PACKAGE =
       classes()
           .that()
           .resideInAPackage("loadbalancer.model")
@@ -22,7 +22,7 @@
           .resideInAnyPackage("loadbalancer.model", "java.lang..", "java.util..");
 
   @ArchTest
-  static final ArchRule POLICY_HAS_NO_CLOCK_THREAD_OR_SOCKET =
+  static final ArchRule POLICY_DEPENDS_ONLY_ON_MODEL_AND_BASIC_JDK_PACKAGES =
       classes()
           .that()
           .resideInAPackage("loadbalancer.policy")
@@ -38,7 +38,7 @@
               "java.util.stream");
 
   @ArchTest
-  static final ArchRule POLICY_READS_NO_CLOCK =
+  static final ArchRule POLICY_READS_NO_CLOCK_AND_USES_NO_THREAD =
       noClasses()
           .that()
           .resideInAPackage("loadbalancer.policy")
@@ -51,7 +51,7 @@
           .areAssignableTo(Thread.class);
 
   @ArchTest
-  static final ArchRule SETTINGS_KNOW_THE_MODEL_ONLY =
+  static final ArchRule SETTINGS_DEPEND_ONLY_ON_MODEL =
       noClasses()
           .that()
           .resideInAPackage("loadbalancer.settings")
@@ -64,7 +64,7 @@
               "loadbalancer.benchmark..");
 
   @ArchTest
-  static final ArchRule SIMULATION_DOES_NOT_KNOW_THE_PROXY =
+  static final ArchRule SIMULATION_DOES_NOT_DEPEND_ON_PROXY_OR_BENCHMARK =
       noClasses()
           .that()
           .resideInAPackage("loadbalancer.simulation..")
@@ -73,7 +73,7 @@
           .resideInAnyPackage("loadbalancer.proxy..", "loadbalancer.benchmark..", "io.netty..");
 
   @ArchTest
-  static final ArchRule NOTHING_THAT_SERVES_KNOWS_THE_BENCHMARK =
+  static final ArchRule NO_OTHER_PACKAGE_DEPENDS_ON_BENCHMARK =
       noClasses()
           .that()
           .resideOutsideOfPackage("loadbalancer.benchmark..")
@@ -82,7 +82,7 @@
           .resideInAnyPackage("loadbalancer.benchmark..", "picocli..", "org.HdrHistogram..");
 
   @ArchTest
-  static final ArchRule ONLY_THE_PROCESS_ITSELF_KNOWS_THE_POLICY =
+  static final ArchRule PROXY_SUBPACKAGES_DO_NOT_DEPEND_ON_POLICY =
       noClasses()
           .that()
           .resideInAnyPackage("loadbalancer.proxy.*..")
@@ -92,7 +92,7 @@
               "loadbalancer.policy..", "loadbalancer.proxy", "loadbalancer.simulation..");
 
   @ArchTest
-  static final ArchRule FRONTEND_AND_UPSTREAM_DO_NOT_KNOW_EACH_OTHER =
+  static final ArchRule FRONTEND_DOES_NOT_DEPEND_ON_UPSTREAM_OR_DISCOVERY =
       noClasses()
           .that()
           .resideInAPackage("loadbalancer.proxy.frontend")
@@ -101,7 +101,7 @@
           .resideInAnyPackage("loadbalancer.proxy.upstream", "loadbalancer.proxy.discovery");
 
   @ArchTest
-  static final ArchRule UPSTREAM_DOES_NOT_KNOW_THE_FRONTEND =
+  static final ArchRule UPSTREAM_DOES_NOT_DEPEND_ON_FRONTEND_OR_CONFIG =
       noClasses()
           .that()
           .resideInAPackage("loadbalancer.proxy.upstream")
@@ -110,7 +110,7 @@
           .resideInAnyPackage("loadbalancer.proxy.frontend", "loadbalancer.proxy.config");
 
   @ArchTest
-  static final ArchRule DISCOVERY_DOES_NOT_KNOW_THE_CONFIGURATION_FILE =
+  static final ArchRule DISCOVERY_DOES_NOT_DEPEND_ON_CONFIG_OR_SETTINGS =
       noClasses()
           .that()
           .resideInAPackage("loadbalancer.proxy.discovery")
@@ -119,7 +119,7 @@
           .resideInAnyPackage("loadbalancer.proxy.config", "loadbalancer.settings");
 
   @ArchTest
-  static final ArchRule EVENT_LOOP_PARTS_KNOW_NOTHING_ELSE =
+  static final ArchRule EVENT_LOOP_DOES_NOT_DEPEND_ON_POLICY_MODEL_OR_PROXY_PARTS =
       noClasses()
           .that()
           .resideInAPackage("loadbalancer.proxy.eventloop")
--- a/src/test/java/loadbalancer/ProjectLayoutTest.java
+++ b/src/test/java/loadbalancer/ProjectLayoutTest.java
@@ -13,7 +13,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** What the project promises about its own files. */
+/**
+ * Checks the project's own files: size limits of policy sources, names in the deploy file, and the
+ * documentation of packages and classes.
+ */
 class ProjectLayoutTest {
 
   private static final Path POLICY = Path.of("src/main/java/loadbalancer/policy");
@@ -21,11 +24,12 @@
   private static final int MAX_LINE_LENGTH = 110;
 
   @Test
-  void everyPolicyFileStaysWithinItsLimits() throws IOException {
+  void policyFilesAreWithinSizeLimits() throws IOException {
     for (Path file : policyFiles()) {
       List<String> lines = Files.readAllLines(file);
-      long count = lines.stream().filter(line -> !line.isBlank()).count();
-      assertTrue(count <= MAX_POLICY_FILE_LINES, file + " has " + count + " lines");
+      long lineCount = lines.stream().filter(line -> !line.isBlank()).count();
+      assertTrue(
+          lineCount <= MAX_POLICY_FILE_LINES, file + " has " + lineCount + " non-blank lines");
       assertTrue(
           lines.stream().allMatch(line -> line.length() <= MAX_LINE_LENGTH),
           file + " has a line over " + MAX_LINE_LENGTH + " characters");
@@ -39,39 +43,42 @@
   }
 
   @Test
-  void theDeployFileNamesWhatTheBuildMakesAndThePolicy() throws IOException {
+  void deployFileNamesTheJarThatTheBuildWritesAndAllPolicyFiles() throws IOException {
     String deploy = Files.readString(Path.of("deploy/balancer.toml"));
-    String listed =
+    String policyFileList =
         policyFiles().stream()
             .map(file -> "\"" + file.toString().replace('\\', '/') + "\"")
             .collect(Collectors.joining(", ", "[", "]"));
-    assertEquals(listed, value(deploy, "policy"));
+    assertEquals(policyFileList, value(deploy, "policy"));
     Matcher jar = Pattern.compile("-jar target/(\\S+)\\.jar wire").matcher(value(deploy, "sim"));
-    assertTrue(jar.find(), "sim starts no jar");
+    assertTrue(jar.find(), "the command sim in deploy/balancer.toml starts no jar");
     String pom = Files.readString(Path.of("pom.xml"));
     assertTrue(pom.contains("<finalName>" + jar.group(1) + "</finalName>"));
     assertTrue(value(deploy, "build").contains("mvn "));
   }
 
-  /** A renamed archive would leave every start slower, with nothing but a line in the log. */
+  /**
+   * If the archive that the command names did not exist, every start would be slower, and only a
+   * log line would report it.
+   */
   @Test
-  void theRunCommandUsesTheJarAndTheClassArchiveThatTheBuildWrites() throws IOException {
+  void runCommandUsesTheJarAndTheClassArchiveThatTheBuildWrites() throws IOException {
     String run = value(Files.readString(Path.of("deploy/balancer.toml")), "run");
     String pom = Files.readString(Path.of("pom.xml"));
     Matcher archive = Pattern.compile("-XX:SharedArchiveFile=(\\S+)").matcher(run);
-    assertTrue(archive.find(), "run uses no class archive");
+    assertTrue(archive.find(), "the command run in deploy/balancer.toml uses no class archive");
     assertTrue(
         pom.contains("<arg line=\"" + archive.group(1) + " ${java.home}/bin/java\"/>"),
-        archive.group(1) + " is not written by the build");
+        archive.group(1) + " is not written by pom.xml");
     Matcher command = Pattern.compile("-jar (\\S+) serve").matcher(run);
-    assertTrue(command.find(), "run starts no jar");
+    assertTrue(command.find(), "the command run in deploy/balancer.toml starts no jar");
     assertTrue(
         pom.contains("<arg line=\"-jar " + command.group(1) + " serve\"/>"),
-        "the archive is recorded from another jar than " + command.group(1));
+        "pom.xml records the class archive from another jar than " + command.group(1));
   }
 
   @Test
-  void everyPackageOfTheProgramIsDocumented() throws IOException {
+  void everyMainPackageHasPackageInfo() throws IOException {
     try (Stream<Path> files = Files.walk(Path.of("src/main/java/loadbalancer"))) {
       List<Path> undocumented =
           files
@@ -83,27 +90,28 @@
     }
   }
 
-  /** A class that is renamed or moved must not leave the map of the code behind. */
+  /** Fails if the architecture page names a class that has been renamed or removed. */
   @Test
-  void everyClassThatTheArchitecturePageNamesExists() throws IOException {
-    String page = Files.readString(Path.of("docs/ARCHITECTURE.md"));
+  void classesNamedInTheArchitecturePageExist() throws IOException {
+    String architecturePage = Files.readString(Path.of("docs/ARCHITECTURE.md"));
     List<String> sources;
     try (Stream<Path> files = Files.walk(Path.of("src"))) {
       sources = files.map(file -> file.getFileName().toString()).toList();
     }
     Matcher named =
-        Pattern.compile("`([A-Z][A-Za-z]+[a-z][A-Za-z]*)(?:\\.(\\w+))?(?:\\(\\))?`").matcher(page);
-    int count = 0;
+        Pattern.compile("`([A-Z][A-Za-z]+[a-z][A-Za-z]*)(?:\\.(\\w+))?(?:\\(\\))?`")
+            .matcher(architecturePage);
+    int namedCount = 0;
     while (named.find()) {
       assertTrue(sources.contains(named.group(1) + ".java"), named.group());
-      count++;
+      namedCount++;
     }
-    assertTrue(count > 20, count + " classes named");
+    assertTrue(namedCount > 20, namedCount + " classes are named");
   }
 
   private static String value(String deploy, String key) {
     Matcher line = Pattern.compile("(?m)^" + key + " = (.*)$").matcher(deploy);
-    assertTrue(line.find(), key + " is missing");
+    assertTrue(line.find(), key + " is missing in deploy/balancer.toml");
     return line.group(1);
   }
 }
