--- a/src/test/java/loadbalancer/policy/DiscoveryRefreshTest.java
+++ b/src/test/java/loadbalancer/policy/DiscoveryRefreshTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When the endpoint watch is started anew. */
+/** When the watch of the endpoint list is restarted, and the backoff after failed calls. */
 class DiscoveryRefreshTest {
 
   @Test
-  void aWatchIsStartedAtFirstAndAgainAfterAFailedCall() {
+  void theWatchIsStartedAtStartupAndRestartedAfterAFailedCall() {
     PolicyHarness harness =
         new PolicyHarness(TestSettings.settings().explicitWatch(true).build(), 1);
     assertEquals(1, harness.watchesStarted);
@@ -27,8 +27,8 @@
 
   @Test
   void failedCallsAreRetriedWithBackoffAndJitter() {
-    double[][] waits = new double[20][];
-    for (int seed = 0; seed < waits.length; seed++) {
+    double[][] backoffsMillis = new double[20][];
+    for (int seed = 0; seed < backoffsMillis.length; seed++) {
       PolicyHarness harness =
           new PolicyHarness(
               TestSettings.settings()
@@ -38,74 +38,90 @@
                   .build(),
               seed);
       harness.updateEndpoints(EndpointUpdateType.CACHED, TestSettings.endpoint(1));
-      waits[seed] = new double[7];
+      backoffsMillis[seed] = new double[7];
       for (int i = 0; i < 6; i++) {
-        waits[seed][i] = backoffAfterFailedCall(harness);
+        backoffsMillis[seed][i] = backoffAfterFailedCallMillis(harness);
       }
       harness.updateEndpoints(EndpointUpdateType.DELTA, TestSettings.endpoint(2));
-      waits[seed][6] = backoffAfterFailedCall(harness);
-      // A silent watch of 2 s and two failures must be made good within 6 s.
-      assertTrue(waits[seed][0] + waits[seed][1] < 1_000, Arrays.toString(waits[seed]));
-      assertTrue(waits[seed][5] >= 1_000 && waits[seed][5] < 2_001, Arrays.toString(waits[seed]));
-      assertTrue(waits[seed][6] < 500, Arrays.toString(waits[seed]));
+      backoffsMillis[seed][6] = backoffAfterFailedCallMillis(harness);
+      // After a watch without updates for 2 s and two failed calls, the endpoint list must be up to
+      // date within 6 s.
+      assertTrue(
+          backoffsMillis[seed][0] + backoffsMillis[seed][1] < 1_000,
+          Arrays.toString(backoffsMillis[seed]));
+      assertTrue(
+          backoffsMillis[seed][5] >= 1_000 && backoffsMillis[seed][5] < 2_001,
+          Arrays.toString(backoffsMillis[seed]));
+      assertTrue(backoffsMillis[seed][6] < 500, Arrays.toString(backoffsMillis[seed]));
     }
     for (int i = 0; i < 6; i++) {
-      int failure = i;
-      long instants =
-          Arrays.stream(waits).mapToLong(wait -> (long) wait[failure] / 25).distinct().count();
-      assertTrue(instants > 3, "instances retry at " + instants + " times after failure " + i);
+      int failureIndex = i;
+      long distinctBackoffs =
+          Arrays.stream(backoffsMillis)
+              .mapToLong(backoffs -> (long) backoffs[failureIndex] / 25)
+              .distinct()
+              .count();
+      assertTrue(
+          distinctBackoffs > 3,
+          "20 instances use only " + distinctBackoffs + " different backoffs after failure " + i);
     }
   }
 
   @Test
-  void whereUpdatesArePushedTheBackoffStaysWithinTheDrainGrace() {
-    double[] last = new double[20];
-    for (int seed = 0; seed < last.length; seed++) {
+  void withoutExplicitWatchTheBackoffIsAtMostHalfTheDrainGrace() {
+    double[] lastBackoffsMillis = new double[20];
+    for (int seed = 0; seed < lastBackoffsMillis.length; seed++) {
       PolicySettings settings =
           TestSettings.settings().instanceCount(20).instanceIndex(seed).build();
       PolicyHarness harness = new PolicyHarness(settings, seed);
       harness.updateEndpoints(EndpointUpdateType.CACHED, TestSettings.endpoint(1));
       for (int i = 0; i < 8; i++) {
-        // Half of the grace is left for the call and its response.
-        last[seed] = backoffAfterFailedCall(harness);
+        // The other half of the drain grace is left for the call and its response.
+        lastBackoffsMillis[seed] = backoffAfterFailedCallMillis(harness);
         assertTrue(
-            last[seed] <= settings.rules().drainGraceMillis() / 2 + 1,
-            "retried after " + last[seed]);
+            lastBackoffsMillis[seed] <= settings.rules().drainGraceMillis() / 2 + 1,
+            "backoff of " + lastBackoffsMillis[seed] + " ms");
       }
     }
-    long instants = Arrays.stream(last).mapToLong(wait -> (long) wait / 25).distinct().count();
-    assertTrue(instants > 3, "instances retry at " + instants + " times");
+    long distinctBackoffs =
+        Arrays.stream(lastBackoffsMillis)
+            .mapToLong(backoffMillis -> (long) backoffMillis / 25)
+            .distinct()
+            .count();
+    assertTrue(
+        distinctBackoffs > 3, "20 instances use only " + distinctBackoffs + " different backoffs");
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void theBackoffIsBoundedWhateverTheSettings(boolean subscribe) {
+  void theBackoffIsAtMostTwoSecondsWithLongIntervals(boolean explicitWatch) {
     for (int seed = 0; seed < 20; seed++) {
       PolicyHarness harness =
           new PolicyHarness(
               TestSettings.settings()
-                  .explicitWatch(subscribe)
+                  .explicitWatch(explicitWatch)
                   .pollIntervalMillis(600_000)
                   .drainGraceMillis(600_000)
                   .build(),
               seed);
       harness.updateEndpoints(EndpointUpdateType.CACHED, TestSettings.endpoint(1));
       for (int i = 0; i < 30; i++) {
-        double wait = backoffAfterFailedCall(harness);
-        assertTrue(wait <= 2_001, "retried after " + wait + " ms, failure " + i);
+        double backoffMillis = backoffAfterFailedCallMillis(harness);
+        assertTrue(
+            backoffMillis <= 2_001, "backoff of " + backoffMillis + " ms after failure " + i);
       }
     }
   }
 
-  /** Fails a call to discovery; returns the milliseconds until the next one. */
-  private static double backoffAfterFailedCall(PolicyHarness harness) {
-    int watches = harness.watchesStarted;
-    double failedAt = harness.now;
+  /** Reports a failed call to discovery; returns the time until the watch is restarted. */
+  private static double backoffAfterFailedCallMillis(PolicyHarness harness) {
+    int watchesBefore = harness.watchesStarted;
+    double failedAtMillis = harness.now;
     harness.updateEndpoints(EndpointUpdateType.FAILED);
-    for (int i = 0; i < 20_000 && harness.watchesStarted == watches; i++) {
+    for (int i = 0; i < 20_000 && harness.watchesStarted == watchesBefore; i++) {
       harness.advance(1);
     }
-    assertEquals(watches + 1, harness.watchesStarted);
-    return harness.now - failedAt;
+    assertEquals(watchesBefore + 1, harness.watchesStarted);
+    return harness.now - failedAtMillis;
   }
 }
--- a/src/test/java/loadbalancer/policy/EmbeddingExampleTest.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingExampleTest.java
@@ -16,7 +16,7 @@
 import loadbalancer.model.PolicySettings;
 import org.junit.jupiter.api.Test;
 
-/** The embedding example of the README, compiled and run; the page's text must be this file's. */
+/** Compiles and runs the embedding example in README.md, which must have the same text. */
 class EmbeddingExampleTest {
 
   // example begins
@@ -37,7 +37,7 @@
   // example ends
 
   @Test
-  void theExampleSendsItsRequest() {
+  void theExampleSendsAnAttempt() {
     PolicyHarness harness = new PolicyHarness(TestSettings.settings().build(), 1);
     host(harness, TestSettings.settings().build(), 100_000);
     assertEquals(7, harness.lastAttempt().requestId());
@@ -46,12 +46,15 @@
 
   @Test
   void theReadmeShowsThisExample() throws IOException {
-    String own =
+    String source =
         Files.readString(Path.of("src/test/java/loadbalancer/policy/EmbeddingExampleTest.java"));
-    String begin = "// example begins\n";
-    String code =
-        own.substring(own.indexOf(begin) + begin.length(), own.indexOf("  // example ends"));
+    String beginMarker = "// example begins\n";
+    String exampleCode =
+        source.substring(
+            source.indexOf(beginMarker) + beginMarker.length(),
+            source.indexOf("  // example ends"));
     assertTrue(
-        Files.readString(Path.of("README.md")).contains("```java\n" + code.indent(-2) + "```"));
+        Files.readString(Path.of("README.md"))
+            .contains("```java\n" + exampleCode.indent(-2) + "```"));
   }
 }
--- a/src/test/java/loadbalancer/policy/PolicyHarness.java
+++ b/src/test/java/loadbalancer/policy/PolicyHarness.java
@@ -15,35 +15,49 @@
 import loadbalancer.model.EndpointUpdateType;
 import loadbalancer.model.PolicySettings;
 
-/** One instance in virtual time: hands it events, records its actions, fires its timers. */
+/**
+ * Runs one policy in virtual time: sends it events, records its actions and fires its timers.
+ * Checks that no attempt ends twice.
+ */
 final class PolicyHarness implements PolicyActions {
 
   record SentAttempt(
       long requestId, int attempt, long endpointId, double timeoutMillis, double atMillis) {}
 
-  private record Timer(double atMillis, long order, long token) {}
+  /** A scheduled timer; the sequence number orders timers of the same time. */
+  private record Timer(double atMillis, long sequenceNumber, long token) {}
 
   final List<SentAttempt> sentAttempts = new ArrayList<>();
+
+  /** IDs of the rejected requests, in the order of the responses. */
   final List<Long> rejected = new ArrayList<>();
 
-  /** The advice of the last rejection. */
+  /** Retry-After advice of the last rejection; 0 for none. */
   double retryAfterMillis;
 
+  /** IDs of the failed requests, in the order of the responses. */
   final List<Long> failed = new ArrayList<>();
+
+  /** Attempts that the policy has cancelled. */
   final List<SentAttempt> cancelled = new ArrayList<>();
+
+  /** IDs of the requests without a final response. */
   final Set<Long> open = new HashSet<>();
-  private final Set<SentAttempt> finished = new HashSet<>();
+
+  private final Set<SentAttempt> finishedAttempts = new HashSet<>();
   int idleConnectionsClosed;
   int watchesStarted;
+
+  /** The virtual time, in milliseconds. */
   double now = 100_000;
 
   private final PolicySettings settings;
   private final LoadBalancingPolicy policy;
-  private final Map<Long, Integer> attempts = new HashMap<>();
+  private final Map<Long, Integer> attemptCounts = new HashMap<>();
   private final PriorityQueue<Timer> timers =
       new PriorityQueue<>(
-          Comparator.comparingDouble(Timer::atMillis).thenComparingLong(Timer::order));
-  private long timersSet;
+          Comparator.comparingDouble(Timer::atMillis).thenComparingLong(Timer::sequenceNumber));
+  private long timersScheduled;
 
   PolicyHarness(PolicySettings settings, long seed) {
     this.settings = settings;
@@ -51,9 +65,11 @@
     policy.start(now, settings, seed);
   }
 
-  void updateEndpoints(EndpointUpdateType change, TestSettings.EndpointBuilder... endpoints) {
+  void updateEndpoints(EndpointUpdateType updateType, TestSettings.EndpointBuilder... endpoints) {
     policy.endpointsChanged(
-        now, change, Arrays.stream(endpoints).map(TestSettings.EndpointBuilder::build).toList());
+        now,
+        updateType,
+        Arrays.stream(endpoints).map(TestSettings.EndpointBuilder::build).toList());
   }
 
   void request(long id, int requestClass) {
@@ -61,17 +77,17 @@
         id, requestClass, now + settings.requestClasses().get(requestClass).deadlineMillis(), 0);
   }
 
-  void request(long id, int requestClass, double deadline, double cost) {
-    request(id, requestClass, deadline, cost, id);
+  void request(long id, int requestClass, double deadlineMillis, double costMillis) {
+    request(id, requestClass, deadlineMillis, costMillis, id);
   }
 
-  void request(long id, int requestClass, double deadline, double cost, long key) {
+  void request(long id, int requestClass, double deadlineMillis, double costMillis, long key) {
     open.add(id);
     policy.requestArrived(
-        now, new ClientRequest(id, requestClass, 0, key, deadline, cost, false, false));
+        now, new ClientRequest(id, requestClass, 0, key, deadlineMillis, costMillis, false, false));
   }
 
-  /** A request that its client has marked as a retry. */
+  /** Sends a request that its client has marked as a retry. */
   void clientRetry(long id, int requestClass) {
     open.add(id);
     policy.requestArrived(
@@ -87,7 +103,7 @@
             false));
   }
 
-  /** A request with a key and the deadline of its class. */
+  /** Sends a request with an ordering key and the deadline of its class. */
   void orderedRequest(long id, int requestClass, long key) {
     request(
         id,
@@ -97,19 +113,19 @@
         key);
   }
 
-  void finish(SentAttempt sent, AttemptOutcome result) {
-    finishAfter(sent, result, now - sent.atMillis());
+  void finish(SentAttempt sent, AttemptOutcome outcome) {
+    finishAfter(sent, outcome, now - sent.atMillis());
   }
 
-  /** A result that the host sent before it learned that the request was closed. */
-  void finishBeforeClose(SentAttempt sent, AttemptOutcome result) {
+  /** Ends an attempt as a host does that does not know yet that the request has ended. */
+  void finishBeforeClose(SentAttempt sent, AttemptOutcome outcome) {
     policy.attemptFinished(
         now,
         new AttemptResult(
             sent.requestId(),
             sent.attempt(),
             sent.endpointId(),
-            result,
+            outcome,
             false,
             now - sent.atMillis(),
             null));
@@ -119,12 +135,14 @@
     policy.timerExpired(now, token);
   }
 
-  void finishAfter(SentAttempt sent, AttemptOutcome result, double elapsed) {
-    if (!finished.add(sent)) {
+  void finishAfter(SentAttempt sent, AttemptOutcome outcome, double elapsedMillis) {
+    if (!finishedAttempts.add(sent)) {
       throw new AssertionError(
-          "a second outcome for " + sent + ": no attempt and no answer followed");
+          "the test ended this attempt twice: "
+              + sent
+              + "; its request got no other attempt and no final response");
     }
-    if (result == AttemptOutcome.OK) {
+    if (outcome == AttemptOutcome.OK) {
       open.remove(sent.requestId());
     }
     policy.attemptFinished(
@@ -133,9 +151,9 @@
             sent.requestId(),
             sent.attempt(),
             sent.endpointId(),
-            result,
+            outcome,
             !open.contains(sent.requestId()),
-            elapsed,
+            elapsedMillis,
             null));
   }
 
@@ -148,22 +166,22 @@
     policy.clientDisconnected(now, id);
   }
 
-  /** Moves the clock on and fires the timers that fall due. */
-  void advance(double ms) {
-    double until = now + ms;
-    while (!timers.isEmpty() && timers.peek().atMillis() <= until) {
+  /** Advances the time and fires the timers that expire. */
+  void advance(double millis) {
+    double untilMillis = now + millis;
+    while (!timers.isEmpty() && timers.peek().atMillis() <= untilMillis) {
       Timer timer = timers.poll();
       now = Math.max(now, timer.atMillis());
       policy.timerExpired(now, timer.token());
     }
-    now = until;
+    now = untilMillis;
   }
 
-  /** The number of different times at which timers are due within the next ms. */
-  long distinctTimerTimes(double ms) {
+  /** The number of different times at which timers expire within a period from now. */
+  long distinctTimerTimes(double periodMillis) {
     return timers.stream()
         .mapToDouble(Timer::atMillis)
-        .filter(at -> at <= now + ms)
+        .filter(atMillis -> atMillis <= now + periodMillis)
         .distinct()
         .count();
   }
@@ -177,16 +195,16 @@
   }
 
   @Override
-  public void sendAttempt(long requestId, long upstream, double timeout) {
-    int attempt = attempts.merge(requestId, 1, Integer::sum) - 1;
-    sentAttempts.add(new SentAttempt(requestId, attempt, upstream, timeout, now));
+  public void sendAttempt(long requestId, long endpointId, double timeoutMillis) {
+    int attemptNumber = attemptCounts.merge(requestId, 1, Integer::sum) - 1;
+    sentAttempts.add(new SentAttempt(requestId, attemptNumber, endpointId, timeoutMillis, now));
   }
 
   @Override
-  public void reject(long requestId, double retryAfter) {
+  public void reject(long requestId, double newRetryAfterMillis) {
     open.remove(requestId);
     rejected.add(requestId);
-    this.retryAfterMillis = retryAfter;
+    retryAfterMillis = newRetryAfterMillis;
   }
 
   @Override
@@ -196,42 +214,42 @@
   }
 
   @Override
-  public void cancelAttempt(long requestId, int attempt) {
+  public void cancelAttempt(long requestId, int attemptNumber) {
     for (SentAttempt sent : sentAttempts) {
-      if (sent.requestId() == requestId && sent.attempt() == attempt) {
+      if (sent.requestId() == requestId && sent.attempt() == attemptNumber) {
         cancelled.add(sent);
       }
     }
   }
 
   @Override
-  public void scheduleTimer(long token, double at) {
-    timers.add(new Timer(at, timersSet++, token));
+  public void scheduleTimer(long token, double atMillis) {
+    timers.add(new Timer(atMillis, timersScheduled++, token));
   }
 
   @Override
-  public void closeIdleConnections(long upstream) {
+  public void closeIdleConnections(long endpointId) {
     idleConnectionsClosed++;
   }
 
   @Override
-  public void watchEndpoints(boolean on) {
+  public void watchEndpoints(boolean enabled) {
     watchesStarted++;
   }
 
   @Override
-  public void checkHealth(long upstream) {
-    throw new AssertionError("no test expects a health check");
+  public void checkHealth(long endpointId) {
+    throw new AssertionError("unexpected health check");
   }
 
   @Override
   public void fetchEndpoints() {
-    throw new AssertionError("no test expects a fetch");
+    throw new AssertionError("unexpected fetch of the endpoint list");
   }
 
   @Override
-  public void sendToPeer(int peer, byte[] payload) {
-    throw new AssertionError("no test has peers");
+  public void sendToPeer(int peerIndex, byte[] payload) {
+    throw new AssertionError("unexpected message to a peer");
   }
 
   @Override
--- a/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -19,43 +19,43 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random legal event sequences; the rules are checked after every step against the test's own
- * record.
+ * Sends the policy random sequences of valid events. After every step, its actions are checked
+ * against the test's own record of requests, attempts and endpoints.
  */
 class RandomEventsTest {
 
   @Test
-  void rulesHoldAfterEveryStep() {
+  void allRulesHoldAfterEveryStep() {
     for (long seed = 1; seed <= 300; seed++) {
-      Driver run = new Driver(seed);
+      Driver driver = new Driver(seed);
       for (int step = 0; step < 300; step++) {
-        run.step();
-        run.check("seed " + seed + " step " + step);
+        driver.step();
+        driver.check("seed " + seed + " step " + step);
       }
-      run.drain("seed " + seed);
+      driver.finishAll("seed " + seed);
     }
   }
 
   @Test
   void theSameEventsGiveTheSameActions() {
-    Driver one = new Driver(77);
-    Driver two = new Driver(77);
+    Driver firstDriver = new Driver(77);
+    Driver secondDriver = new Driver(77);
     for (int step = 0; step < 500; step++) {
-      one.step();
-      two.step();
-      one.check("one");
-      two.check("two");
+      firstDriver.step();
+      secondDriver.step();
+      firstDriver.check("first driver");
+      secondDriver.check("second driver");
     }
-    assertFalse(one.harness.sentAttempts.isEmpty());
-    assertEquals(one.harness.sentAttempts, two.harness.sentAttempts);
-    assertEquals(one.harness.rejected, two.harness.rejected);
+    assertFalse(firstDriver.harness.sentAttempts.isEmpty());
+    assertEquals(firstDriver.harness.sentAttempts, secondDriver.harness.sentAttempts);
+    assertEquals(firstDriver.harness.rejected, secondDriver.harness.rejected);
   }
 
-  /** One instance under random events, with the record that its actions are checked against. */
+  /** Sends random events to one instance and checks its actions. */
   private static final class Driver {
     private static final int ENDPOINTS = 6;
-    private static final double SETTLE = 100;
-    private static final AttemptOutcome[] UNSERVED = {
+    private static final double KEY_SETTLE_MILLIS = 100;
+    private static final AttemptOutcome[] FAILURE_OUTCOMES = {
       AttemptOutcome.ERROR,
       AttemptOutcome.REJECTED,
       AttemptOutcome.TIMEOUT,
@@ -76,28 +76,31 @@
         new TestSettings.EndpointBuilder[ENDPOINTS];
     private final EndpointState[] states = new EndpointState[ENDPOINTS];
 
-    /** Attempts that are still running. */
-    private final List<PolicyHarness.SentAttempt> out = new ArrayList<>();
+    private final List<PolicyHarness.SentAttempt> runningAttempts = new ArrayList<>();
 
-    private final Map<Long, List<PolicyHarness.SentAttempt>> byRequest = new HashMap<>();
-    private final Set<PolicyHarness.SentAttempt> provenUnrun = new HashSet<>();
-    private final Map<Long, Double> deadlines = new HashMap<>();
-    private final Set<Long> streaming = new HashSet<>();
-    private final Set<Long> servedOrGone = new HashSet<>();
-    private final Map<Long, Integer> classOf = new HashMap<>();
-    private final Map<Long, Long> keyOf = new HashMap<>();
+    private final Map<Long, List<PolicyHarness.SentAttempt>> attemptsByRequest = new HashMap<>();
+    private final Set<PolicyHarness.SentAttempt> attemptsWithoutEffect = new HashSet<>();
+    private final Map<Long, Double> deadlineMillisByRequest = new HashMap<>();
+    private final Set<Long> streamingRequests = new HashSet<>();
+    private final Set<Long> servedOrDisconnected = new HashSet<>();
+    private final Map<Long, Integer> classByRequest = new HashMap<>();
+    private final Map<Long, Long> keyByRequest = new HashMap<>();
 
-    /** From when on no abandoned attempt of a request counts as running. */
-    private final Map<Long, Double> keyFreeAt = new HashMap<>();
+    /** By request: until when its key stays reserved after an abandoned attempt. */
+    private final Map<Long, Double> keyReservedUntilMillis = new HashMap<>();
 
-    /** For each endpoint since it was last listed anew: its start, attempts, granted budget. */
-    private final double[] started = new double[ENDPOINTS];
+    /** Start of each endpoint; 0 if it has not been restarted. */
+    private final double[] startedAtMillis = new double[ENDPOINTS];
 
-    private final int[] sentTo = new int[ENDPOINTS];
-    private final double[] granted = new double[ENDPOINTS];
-    private int seen;
-    private int rejectedSeen;
-    private long nextId;
+    /** Attempts sent to each endpoint while warming up, since it was last added to the list. */
+    private final int[] warmUpAttempts = new int[ENDPOINTS];
+
+    /** Upper bound of the warm-up budget of each endpoint, since it was last added to the list. */
+    private final double[] grantedBudget = new double[ENDPOINTS];
+
+    private int checkedAttempts;
+    private int checkedRejections;
+    private long nextRequestId;
 
     Driver(long seed) {
       random = new SplittableRandom(seed);
@@ -107,7 +110,7 @@
       streamed = random.nextInt(4) == 0;
       orderedByKey = !streamed && random.nextBoolean();
       restricted = random.nextInt(3) == 0;
-      TestSettings.Builder site =
+      TestSettings.Builder settings =
           TestSettings.settings()
               .idempotency(idempotency)
               .deduplicationScope(deduplicationScope)
@@ -119,7 +122,8 @@
               .lateResponseValue(random.nextBoolean() ? 0.3 : 0);
       harness =
           new PolicyHarness(
-              (restricted ? site.allowedZones(1).allowedMachineTypes(0) : site).build(), seed);
+              (restricted ? settings.allowedZones(1).allowedMachineTypes(0) : settings).build(),
+              seed);
       for (int i = 0; i < ENDPOINTS; i++) {
         endpoints[i] =
             TestSettings.endpoint(i + 1).zone(i % 2).deduplicationGroup(i / 2).machineType(i / 4);
@@ -130,89 +134,95 @@
 
     private void step() {
       switch (random.nextInt(12)) {
-        case 0, 1, 2, 3 -> arrive();
-        case 4, 5, 6, 7 -> finishOne();
-        case 8 -> changeList();
-        case 9 -> leave();
-        case 10 -> stream();
+        case 0, 1, 2, 3 -> sendRequest();
+        case 4, 5, 6, 7 -> finishAttempt();
+        case 8 -> changeEndpoints();
+        case 9 -> disconnectClient();
+        case 10 -> startStream();
         default -> advance(random.nextDouble() * 200);
       }
     }
 
-    private void arrive() {
-      long id = nextId++;
-      double deadline = harness.now + random.nextInt(-20, 2_000);
-      deadlines.put(id, deadline);
-      classOf.put(id, random.nextInt(2));
-      keyOf.put(id, (long) random.nextInt(4));
-      grant(classOf.get(id));
+    private void sendRequest() {
+      long id = nextRequestId++;
+      double deadlineMillis = harness.now + random.nextInt(-20, 2_000);
+      deadlineMillisByRequest.put(id, deadlineMillis);
+      classByRequest.put(id, random.nextInt(2));
+      keyByRequest.put(id, (long) random.nextInt(4));
+      grantWarmUpBudget(classByRequest.get(id));
       harness.request(
           id,
-          classOf.get(id),
-          deadline,
+          classByRequest.get(id),
+          deadlineMillis,
           random.nextInt(3) == 0 ? random.nextInt(100) : 0,
-          keyOf.get(id));
+          keyByRequest.get(id));
     }
 
-    /** Whether a request's class may go to an endpoint at all. */
-    private boolean open(int requestClass, int endpoint) {
+    /** Whether the placement of a class allows an endpoint. */
+    private boolean mayBeSentTo(int requestClass, int endpoint) {
       return !restricted || requestClass == 1 || (endpoint % 2 == 1 && endpoint / 4 == 0);
     }
 
     /**
-     * A warming endpoint is granted 0.9 of its present share, of half the open endpoints at least.
+     * Adds the largest warm-up budget that an arriving request may grant each endpoint: 0.9 (the
+     * collapse multiple of 3 x 0.3) x warm-up fraction / half the number of allowed endpoints.
      */
-    private void grant(int requestClass) {
-      long usable = 0;
+    private void grantWarmUpBudget(int requestClass) {
+      long allowedEndpoints = 0;
       for (int i = 0; i < ENDPOINTS; i++) {
-        usable += states[i] == EndpointState.READY && open(requestClass, i) ? 1 : 0;
+        allowedEndpoints +=
+            states[i] == EndpointState.READY && mayBeSentTo(requestClass, i) ? 1 : 0;
       }
       for (int i = 0; i < ENDPOINTS; i++) {
-        if (usable > 0 && open(requestClass, i)) {
-          double warmUpFraction = Math.min(1, 0.2 + 0.8 * (harness.now - started[i]) / 10_000);
-          granted[i] += 0.9 * warmUpFraction / (usable / 2.0);
+        if (allowedEndpoints > 0 && mayBeSentTo(requestClass, i)) {
+          double warmUpFraction =
+              Math.min(1, 0.2 + 0.8 * (harness.now - startedAtMillis[i]) / 10_000);
+          grantedBudget[i] += 0.9 * warmUpFraction / (allowedEndpoints / 2.0);
         }
       }
     }
 
-    private void finishOne() {
-      if (out.isEmpty()) {
+    private void finishAttempt() {
+      if (runningAttempts.isEmpty()) {
         return;
       }
-      PolicyHarness.SentAttempt sent = out.remove(random.nextInt(out.size()));
-      AttemptOutcome result =
-          random.nextInt(3) > 0 ? AttemptOutcome.OK : UNSERVED[random.nextInt(UNSERVED.length)];
+      PolicyHarness.SentAttempt sent =
+          runningAttempts.remove(random.nextInt(runningAttempts.size()));
+      AttemptOutcome outcome =
+          random.nextInt(3) > 0
+              ? AttemptOutcome.OK
+              : FAILURE_OUTCOMES[random.nextInt(FAILURE_OUTCOMES.length)];
       if (!harness.isOpen(sent.requestId())) {
-        result = random.nextBoolean() ? AttemptOutcome.CANCELLED : result;
+        outcome = random.nextBoolean() ? AttemptOutcome.CANCELLED : outcome;
       }
-      if (result == AttemptOutcome.OK) {
-        servedOrGone.add(sent.requestId());
+      if (outcome == AttemptOutcome.OK) {
+        servedOrDisconnected.add(sent.requestId());
       }
-      finish(sent, result);
+      finish(sent, outcome);
     }
 
-    private void finish(PolicyHarness.SentAttempt sent, AttemptOutcome result) {
-      if (result.neverRan()) {
-        provenUnrun.add(sent);
+    private void finish(PolicyHarness.SentAttempt sent, AttemptOutcome outcome) {
+      if (outcome.neverRan()) {
+        attemptsWithoutEffect.add(sent);
       }
-      if (result == AttemptOutcome.TIMEOUT
-          || result == AttemptOutcome.RESET
-          || result == AttemptOutcome.CANCELLED) {
-        keyFreeAt.put(sent.requestId(), harness.now + SETTLE);
+      if (outcome == AttemptOutcome.TIMEOUT
+          || outcome == AttemptOutcome.RESET
+          || outcome == AttemptOutcome.CANCELLED) {
+        keyReservedUntilMillis.put(sent.requestId(), harness.now + KEY_SETTLE_MILLIS);
       }
-      harness.finish(sent, result);
+      harness.finish(sent, outcome);
     }
 
-    private void changeList() {
+    private void changeEndpoints() {
       int i = random.nextInt(ENDPOINTS);
       states[i] = EndpointState.values()[random.nextInt(3)];
       if (random.nextBoolean()) {
         endpoints[i].startedAt(harness.now);
-        started[i] = harness.now;
-        listedAnew(i);
+        startedAtMillis[i] = harness.now;
+        resetWarmUp(i);
       }
       if (states[i] == EndpointState.REMOVED) {
-        listedAnew(i);
+        resetWarmUp(i);
       }
       if (random.nextInt(4) == 0) {
         List<TestSettings.EndpointBuilder> all = new ArrayList<>();
@@ -224,10 +234,10 @@
         harness.updateEndpoints(
             EndpointUpdateType.FULL, all.toArray(TestSettings.EndpointBuilder[]::new));
       } else if (random.nextInt(5) == 0) {
-        // The change is not notified: a failed call changes no state.
+        // A failed call to discovery must change nothing; only the removal that follows does.
         harness.updateEndpoints(EndpointUpdateType.FAILED);
         states[i] = EndpointState.REMOVED;
-        listedAnew(i);
+        resetWarmUp(i);
         harness.updateEndpoints(
             EndpointUpdateType.DELTA, endpoints[i].state(EndpointState.REMOVED));
       } else {
@@ -235,148 +245,177 @@
       }
     }
 
-    private void listedAnew(int endpoint) {
-      sentTo[endpoint] = 0;
-      granted[endpoint] = 0;
+    private void resetWarmUp(int endpoint) {
+      warmUpAttempts[endpoint] = 0;
+      grantedBudget[endpoint] = 0;
     }
 
-    /** Slow start: one attempt at once and then what is granted. */
-    private void checkWarmUpBudget(PolicyHarness.SentAttempt sent, String where) {
+    /** Slow start: an endpoint gets one attempt at once and then as many as its budget allows. */
+    private void checkWarmUpBudget(PolicyHarness.SentAttempt sent, String context) {
       int endpoint = (int) sent.endpointId() - 1;
-      if (started[endpoint] != 0 && sent.atMillis() - started[endpoint] < 10_000) {
-        sentTo[endpoint]++;
+      if (startedAtMillis[endpoint] != 0 && sent.atMillis() - startedAtMillis[endpoint] < 10_000) {
+        warmUpAttempts[endpoint]++;
         assertTrue(
-            sentTo[endpoint] <= 1 + granted[endpoint] + 1e-9,
-            where + ": slow start: " + sentTo[endpoint] + " of " + granted[endpoint]);
+            warmUpAttempts[endpoint] <= 1 + grantedBudget[endpoint] + 1e-9,
+            context
+                + ": slow start: attempt "
+                + warmUpAttempts[endpoint]
+                + " with a budget of "
+                + grantedBudget[endpoint]);
       }
     }
 
-    private void leave() {
+    private void disconnectClient() {
       if (!harness.open.isEmpty() && random.nextInt(3) == 0) {
         long id = harness.open.stream().mapToLong(Long::longValue).min().orElseThrow();
-        servedOrGone.add(id);
+        servedOrDisconnected.add(id);
         harness.disconnectClient(id);
       }
     }
 
-    private void stream() {
-      if (streamed && !out.isEmpty()) {
-        PolicyHarness.SentAttempt sent = out.get(random.nextInt(out.size()));
-        if (harness.isOpen(sent.requestId()) && streaming.add(sent.requestId())) {
+    private void startStream() {
+      if (streamed && !runningAttempts.isEmpty()) {
+        PolicyHarness.SentAttempt sent =
+            runningAttempts.get(random.nextInt(runningAttempts.size()));
+        if (harness.isOpen(sent.requestId()) && streamingRequests.add(sent.requestId())) {
           harness.startStream(sent);
         }
       }
     }
 
-    /**
-     * Moves the clock on; reports timeouts as the host would, also of attempts that timers send.
-     */
-    private void advance(double ms) {
-      double until = harness.now + ms;
-      while (harness.now < until) {
-        harness.advance(Math.min(5, until - harness.now));
-        check("on the way");
-        for (PolicyHarness.SentAttempt sent : List.copyOf(out)) {
-          boolean due = !streaming.contains(sent.requestId()) && expiry(sent) <= harness.now;
-          if (due && out.remove(sent)) {
+    /** Advances the time in steps of up to 5 ms; times out attempts as the host would. */
+    private void advance(double millis) {
+      double untilMillis = harness.now + millis;
+      while (harness.now < untilMillis) {
+        harness.advance(Math.min(5, untilMillis - harness.now));
+        check("while time advances");
+        for (PolicyHarness.SentAttempt sent : List.copyOf(runningAttempts)) {
+          boolean timedOut =
+              !streamingRequests.contains(sent.requestId()) && timeoutAtMillis(sent) <= harness.now;
+          if (timedOut && runningAttempts.remove(sent)) {
             finish(sent, AttemptOutcome.TIMEOUT);
-            check("timeout");
+            check("after a timeout");
           }
         }
       }
     }
 
-    private double expiry(PolicyHarness.SentAttempt sent) {
+    private double timeoutAtMillis(PolicyHarness.SentAttempt sent) {
       return Math.min(
-          sent.atMillis() + Math.max(0, sent.timeoutMillis()), deadlines.get(sent.requestId()));
+          sent.atMillis() + Math.max(0, sent.timeoutMillis()),
+          deadlineMillisByRequest.get(sent.requestId()));
     }
 
-    private void check(String where) {
-      for (; seen < harness.sentAttempts.size(); seen++) {
-        PolicyHarness.SentAttempt sent = harness.sentAttempts.get(seen);
-        checkSend(sent, where + ": " + sent);
-        checkWarmUpBudget(sent, where + ": " + sent);
-        byRequest.computeIfAbsent(sent.requestId(), k -> new ArrayList<>()).add(sent);
-        out.add(sent);
+    private void check(String context) {
+      for (; checkedAttempts < harness.sentAttempts.size(); checkedAttempts++) {
+        PolicyHarness.SentAttempt sent = harness.sentAttempts.get(checkedAttempts);
+        checkSend(sent, context + ": " + sent);
+        checkWarmUpBudget(sent, context + ": " + sent);
+        attemptsByRequest.computeIfAbsent(sent.requestId(), k -> new ArrayList<>()).add(sent);
+        runningAttempts.add(sent);
       }
-      for (; rejectedSeen < harness.rejected.size(); rejectedSeen++) {
-        long id = harness.rejected.get(rejectedSeen);
-        boolean maybeRun =
-            byRequest.getOrDefault(id, List.of()).stream().anyMatch(s -> !provenUnrun.contains(s));
+      for (; checkedRejections < harness.rejected.size(); checkedRejections++) {
+        long id = harness.rejected.get(checkedRejections);
+        boolean mayHaveRun =
+            attemptsByRequest.getOrDefault(id, List.of()).stream()
+                .anyMatch(attempt -> !attemptsWithoutEffect.contains(attempt));
         assertTrue(
-            !maybeRun
+            !mayHaveRun
                 || idempotency == Idempotency.IDEMPOTENT
                 || (idempotency == Idempotency.DEDUPLICATED
                     && deduplicationScope == DeduplicationScope.ALL),
-            where + ": rejected " + id);
+            context
+                + ": rejected request "
+                + id
+                + ", which may have run and is not safe to repeat");
       }
-      Set<Long> answered = new HashSet<>(servedOrGone);
+      Set<Long> finished = new HashSet<>(servedOrDisconnected);
       for (long id : harness.rejected) {
-        assertTrue(answered.add(id), where + ": second final answer for " + id);
+        assertTrue(finished.add(id), context + ": second final response of request " + id);
       }
       for (long id : harness.failed) {
-        assertTrue(answered.add(id), where + ": second final answer for " + id);
+        assertTrue(finished.add(id), context + ": second final response of request " + id);
       }
       for (long id : harness.open) {
         assertTrue(
-            streaming.contains(id) || harness.now <= deadlines.get(id) + 20,
-            where + ": no answer in time for " + id);
+            streamingRequests.contains(id) || harness.now <= deadlineMillisByRequest.get(id) + 20,
+            context + ": request " + id + " has no final response 20 ms after its deadline");
       }
     }
 
-    private void checkSend(PolicyHarness.SentAttempt sent, String where) {
+    private void checkSend(PolicyHarness.SentAttempt sent, String context) {
       int endpoint = (int) sent.endpointId() - 1;
-      assertEquals(EndpointState.READY, states[endpoint], where + ": not ready");
-      assertTrue(open(classOf.get(sent.requestId()), endpoint), where + ": placement");
-      checkOrder(sent, where);
-      assertFalse(servedOrGone.contains(sent.requestId()), where + ": sent after the end");
-      List<PolicyHarness.SentAttempt> earlier = byRequest.getOrDefault(sent.requestId(), List.of());
-      assertTrue(earlier.size() < 4, where + ": too many attempts");
+      assertEquals(EndpointState.READY, states[endpoint], context + ": endpoint is not ready");
+      assertTrue(
+          mayBeSentTo(classByRequest.get(sent.requestId()), endpoint),
+          context + ": endpoint is not allowed for the class");
+      checkKeyOrder(sent, context);
+      assertFalse(
+          servedOrDisconnected.contains(sent.requestId()),
+          context + ": sent after the request was served or its client disconnected");
+      List<PolicyHarness.SentAttempt> earlierAttempts =
+          attemptsByRequest.getOrDefault(sent.requestId(), List.of());
+      assertTrue(earlierAttempts.size() < 4, context + ": more than 4 attempts");
       assertTrue(
-          parallelAttempts || earlier.stream().noneMatch(out::contains), where + ": two at once");
-      for (PolicyHarness.SentAttempt before : earlier) {
-        if (provenUnrun.contains(before) || idempotency == Idempotency.IDEMPOTENT) {
+          parallelAttempts || earlierAttempts.stream().noneMatch(runningAttempts::contains),
+          context + ": parallel attempts");
+      for (PolicyHarness.SentAttempt earlierAttempt : earlierAttempts) {
+        if (attemptsWithoutEffect.contains(earlierAttempt)
+            || idempotency == Idempotency.IDEMPOTENT) {
           continue;
         }
-        assertTrue(idempotency == Idempotency.DEDUPLICATED, where + ": unsafe repeated");
-        assertTrue(sent.atMillis() <= before.atMillis() + 700, where + ": outside the window");
-        int was = (int) before.endpointId() - 1;
+        assertTrue(
+            idempotency == Idempotency.DEDUPLICATED,
+            context + ": repeated although it must not run twice");
+        assertTrue(
+            sent.atMillis() <= earlierAttempt.atMillis() + 700,
+            context + ": repeated outside the deduplication window of 700 ms");
+        int earlierEndpoint = (int) earlierAttempt.endpointId() - 1;
         assertTrue(
             deduplicationScope == DeduplicationScope.ALL
                 || (deduplicationScope == DeduplicationScope.ZONE
-                    ? was % 2 == endpoint % 2
-                    : was / 2 == endpoint / 2),
-            where + ": outside the group");
+                    ? earlierEndpoint % 2 == endpoint % 2
+                    : earlierEndpoint / 2 == endpoint / 2),
+            context + ": repeated outside the deduplication scope " + deduplicationScope);
       }
     }
 
-    /** Key order: ids rise in order of arrival; key 0 is no key. */
-    private void checkOrder(PolicyHarness.SentAttempt sent, String where) {
-      long key = keyOf.get(sent.requestId());
+    /**
+     * Requests with the same key are sent in order of arrival, which is that of their IDs; key 0 is
+     * no key.
+     */
+    private void checkKeyOrder(PolicyHarness.SentAttempt sent, String context) {
+      long key = keyByRequest.get(sent.requestId());
       for (long id = 0; orderedByKey && key != 0 && id < sent.requestId(); id++) {
-        long before = id;
-        if (keyOf.get(before) == key) {
-          assertFalse(harness.isOpen(before), where + ": key order: before " + before);
+        long earlierId = id;
+        if (keyByRequest.get(earlierId) == key) {
+          assertFalse(
+              harness.isOpen(earlierId),
+              context + ": key order: sent before the final response of request " + earlierId);
           assertTrue(
-              out.stream().noneMatch(other -> other.requestId() == before),
-              where + ": key order: while an attempt of " + before + " is running");
+              runningAttempts.stream().noneMatch(other -> other.requestId() == earlierId),
+              context
+                  + ": key order: sent while an attempt of request "
+                  + earlierId
+                  + " is running");
           assertTrue(
-              sent.atMillis() >= keyFreeAt.getOrDefault(before, 0.0),
-              where + ": key order: before the key is free after " + before);
+              sent.atMillis() >= keyReservedUntilMillis.getOrDefault(earlierId, 0.0),
+              context + ": key order: sent while the key is reserved by request " + earlierId);
         }
       }
     }
 
-    /** At the end every request has had its final response. */
-    private void drain(String where) {
+    /** Ends all attempts and checks that every request has a final response. */
+    private void finishAll(String context) {
       advance(5_000);
-      for (PolicyHarness.SentAttempt sent : List.copyOf(out)) {
-        out.remove(sent);
-        servedOrGone.add(sent.requestId());
+      for (PolicyHarness.SentAttempt sent : List.copyOf(runningAttempts)) {
+        runningAttempts.remove(sent);
+        servedOrDisconnected.add(sent.requestId());
         harness.finish(sent, AttemptOutcome.OK);
       }
-      check(where);
-      assertTrue(harness.open.isEmpty(), where + ": no response for " + harness.open);
+      check(context);
+      assertTrue(
+          harness.open.isEmpty(), context + ": requests without a final response: " + harness.open);
     }
   }
 }
--- a/src/test/java/loadbalancer/policy/TestSettings.java
+++ b/src/test/java/loadbalancer/policy/TestSettings.java
@@ -12,18 +12,23 @@
 import loadbalancer.model.RequestClass;
 import loadbalancer.model.RuleSettings;
 
-/** Settings and endpoint entries for tests. */
+/** Builders of settings and endpoints for tests. */
 final class TestSettings {
 
+  /** Latency objective of both request classes. */
   static final double OBJECTIVE_MILLIS = 1_000;
+
+  /** Time from the arrival of a request to its deadline, for both classes. */
   static final double DEADLINE_MILLIS = 2_000;
 
   private TestSettings() {}
 
+  /** Settings with two request classes; only the first class can have a restricted placement. */
   static Builder settings() {
     return new Builder();
   }
 
+  /** An endpoint that is ready and not warming up. */
   static EndpointBuilder endpoint(long id) {
     return new EndpointBuilder(id);
   }
@@ -34,7 +39,7 @@
     private int deduplicationGroup;
     private int machineType;
     private EndpointState state = EndpointState.READY;
-    private double startedAt;
+    private double startedAtMillis;
 
     private EndpointBuilder(long id) {
       this.id = id;
@@ -61,12 +66,12 @@
     }
 
     EndpointBuilder startedAt(double value) {
-      startedAt = value;
+      startedAtMillis = value;
       return this;
     }
 
     Endpoint build() {
-      return new Endpoint(id, zone, machineType, deduplicationGroup, state, 1, startedAt);
+      return new Endpoint(id, zone, machineType, deduplicationGroup, state, 1, startedAtMillis);
     }
   }
 
@@ -89,19 +94,22 @@
     private List<Integer> allowedZones;
     private List<Integer> allowedMachineTypes;
 
-    /** Both classes are ordered by key; a key stays reserved for 100 ms. */
+    /**
+     * Whether both classes are ordered by key. A key stays reserved for 100 ms after an abandoned
+     * attempt.
+     */
     Builder orderedByKey(boolean value) {
       orderedByKey = value;
       return this;
     }
 
-    /** The first class may only go to these zones. */
+    /** Restricts the first class to these zones. */
     Builder allowedZones(Integer... values) {
       allowedZones = List.of(values);
       return this;
     }
 
-    /** The first class may only go to these machine types. */
+    /** Restricts the first class to these machine types. */
     Builder allowedMachineTypes(Integer... values) {
       allowedMachineTypes = List.of(values);
       return this;
