--- a/src/main/java/loadbalancer/proxy/InFlightExchange.java
+++ b/src/main/java/loadbalancer/proxy/InFlightExchange.java
@@ -44,7 +44,7 @@
   /**
    * Creates the exchange of a request that has just arrived.
    *
-   * @param request one reference to it is taken over
+   * @param request the callee takes ownership of one reference to it
    * @param deadlineMillis when the request's deadline ends, on the instance's {@link
    *     loadbalancer.proxy.eventloop.Clock}
    * @param onClientDisconnected called when the client connection reports its end
--- a/src/main/java/loadbalancer/proxy/Main.java
+++ b/src/main/java/loadbalancer/proxy/Main.java
@@ -41,12 +41,12 @@
   private static void serve() throws InterruptedException {
     // Netty would otherwise prefer another logging library to the JDK's if the class path had one.
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-    CompletableFuture<ProxyServer> started = new CompletableFuture<>();
-    reloadOnHangup(started);
+    CompletableFuture<ProxyServer> startedServer = new CompletableFuture<>();
+    reloadOnHangup(startedServer);
     try {
       ProxyServer server = ProxyServer.prepare(ProxyConfig.read(System.getenv(CONFIG_VARIABLE)));
       serveUntilShutdown(server);
-      started.complete(server);
+      startedServer.complete(server);
     } catch (ConfigurationException e) {
       exit("load-balancer: " + e.getMessage(), EXIT_FAILURE);
     } catch (IllegalStateException e) {
@@ -87,7 +87,7 @@
    * the start, during which a signal may come too. A single thread carries out all reloads, so that
    * the file as of the last signal is the one that is applied last.
    */
-  private static void reloadOnHangup(CompletableFuture<ProxyServer> started) {
+  private static void reloadOnHangup(CompletableFuture<ProxyServer> startedServer) {
     ExecutorService reloadExecutor =
         Executors.newSingleThreadExecutor(
             task -> {
@@ -95,13 +95,13 @@
               thread.setDaemon(true);
               return thread;
             });
-    onHangup(() -> reloadExecutor.execute(() -> reload(started)));
+    onHangup(() -> reloadExecutor.execute(() -> reload(startedServer)));
   }
 
   /** Waits for the start to complete and reloads; an invalid configuration changes nothing. */
-  private static void reload(CompletableFuture<ProxyServer> started) {
+  private static void reload(CompletableFuture<ProxyServer> startedServer) {
     try {
-      ProxyServer server = started.join();
+      ProxyServer server = startedServer.join();
       server.reload(ProxyConfig.read(System.getenv(CONFIG_VARIABLE)));
     } catch (ConfigurationException | RuntimeException e) {
       ProxyLogger.LOGGER.warning(
@@ -117,7 +117,7 @@
     try {
       Class<?> signalType = Class.forName("sun.misc.Signal");
       Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
-      Object handler =
+      Object signalHandler =
           Proxy.newProxyInstance(
               Main.class.getClassLoader(),
               new Class<?>[] {handlerType},
@@ -127,7 +127,7 @@
               });
       signalType
           .getMethod("handle", signalType, handlerType)
-          .invoke(null, signalType.getConstructor(String.class).newInstance("HUP"), handler);
+          .invoke(null, signalType.getConstructor(String.class).newInstance("HUP"), signalHandler);
     } catch (ReflectiveOperationException e) {
       exit("load-balancer: cannot install a handler for SIGHUP: " + e, EXIT_FAILURE);
     }
--- a/src/main/java/loadbalancer/proxy/PolicyDriver.java
+++ b/src/main/java/loadbalancer/proxy/PolicyDriver.java
@@ -167,17 +167,17 @@
     if (update != null) {
       upstreams.updateEndpoints(update, discoveryReader.earliestArrivalMillis());
     }
-    boolean[] accepted = new boolean[1];
+    boolean[] acceptedByPolicy = new boolean[1];
     enqueue(
         null,
         () -> {
           policy.endpointsChanged(clock.now(), type, endpoints);
-          accepted[0] = true;
+          acceptedByPolicy[0] = true;
         });
     if (update == null) {
       return;
     }
-    if (!accepted[0]) {
+    if (!acceptedByPolicy[0]) {
       throw new IllegalStateException(
           "the policy failed to handle endpoint list version " + update.version());
     }
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -40,7 +40,7 @@
   private static final int PAGES_PER_CHUNK_LOG2 = 6;
   private static final int CACHED_BUFFERS_PER_SIZE = 32;
 
-  /** After SIGTERM, clients may go on opening connections for this long. */
+  /** The time after SIGTERM in which clients may still open connections. */
   private static final long NEW_CONNECTIONS_AFTER_SIGTERM_MILLIS = 550;
 
   /**
@@ -199,9 +199,10 @@
   }
 
   /**
-   * Carries out the shutdown that SIGTERM asks for; the process may end once this returns. Several
-   * instances may restart at once and leave clients no other to go to. Therefore clients are served
-   * as before until the closing phase, and only then asked to close their connections.
+   * Carries out the shutdown that SIGTERM asks for; the process may end once this returns. If
+   * several instances restart at the same time, clients may have no other one to connect to.
+   * Therefore they are served as before until the closing phase, and only then asked to close their
+   * connections.
    */
   void shutDownGracefully() throws InterruptedException {
     double longestDeadlineMillis =
--- a/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
@@ -41,7 +41,7 @@
 
   /**
    * Limits what {@link #isConnected} reads. More than the kernel buffers for a connection, so that
-   * only a client that goes on sending reaches it.
+   * only a client that keeps sending reaches it.
    */
   private static final int MAX_UNREAD_BYTES = 16 * 1024 * 1024;
 
@@ -341,7 +341,7 @@
     write(status, body.retain(), retryAfterMillis);
   }
 
-  /** Writes a response, taking over one reference to its body, and processes the next request. */
+  /** Writes a response and processes the next request. Takes ownership of {@code body}. */
   private void write(HttpResponseStatus status, ByteBuf body, double retryAfterMillis) {
     if (isLastResponse()) {
       state = State.WRITING_LAST_RESPONSE;
--- a/src/main/java/loadbalancer/proxy/frontend/ClientRequestDecoder.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ClientRequestDecoder.java
@@ -12,8 +12,8 @@
 
 /**
  * Decodes requests and keeps track of whether one has been received in part. After a protocol
- * violation it goes on reading but discards the input, since only a read shows that the client has
- * disconnected.
+ * violation it continues to read but discards the input, since only a read shows that the client
+ * has disconnected.
  */
 final class ClientRequestDecoder extends HttpRequestDecoder {
 
@@ -45,7 +45,7 @@
     return partialRequest;
   }
 
-  /** The number of bytes that the connection has received in all. */
+  /** The total number of bytes received on the connection. */
   long receivedBytes() {
     return receivedBytes;
   }
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Rejects the request, from which Netty would otherwise remove Content-Length and go on. */
+  /** Rejects the request; by default Netty ignores its Content-Length and accepts it. */
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
     throw new IllegalArgumentException(
--- a/src/main/java/loadbalancer/proxy/frontend/CurrentRequest.java
+++ b/src/main/java/loadbalancer/proxy/frontend/CurrentRequest.java
@@ -26,7 +26,7 @@
     this.connection = connection;
   }
 
-  /** Begins to process a request; takes over one reference to it. */
+  /** Begins to process a request; takes ownership of one reference to it. */
   void begin(FullHttpRequest newRequest) {
     request = newRequest;
   }
--- a/src/main/java/loadbalancer/proxy/frontend/Frontend.java
+++ b/src/main/java/loadbalancer/proxy/frontend/Frontend.java
@@ -92,7 +92,7 @@
    * @throws ConfigurationException if the address cannot be bound
    */
   public void bind() throws ConfigurationException, InterruptedException {
-    ServerBootstrap server =
+    ServerBootstrap bootstrap =
         new ServerBootstrap()
             .group(loop)
             .channel(NioServerSocketChannel.class)
@@ -102,12 +102,12 @@
             .childOption(ChannelOption.ALLOCATOR, allocator)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(new ConnectionInitializer());
-    var bound = server.bind(config.listen()).await();
-    if (!bound.isSuccess()) {
+    var bindFuture = bootstrap.bind(config.listen()).await();
+    if (!bindFuture.isSuccess()) {
       throw new ConfigurationException(
-          "cannot listen on " + config.listen() + ": " + bound.cause().getMessage());
+          "cannot listen on " + config.listen() + ": " + bindFuture.cause().getMessage());
     }
-    serverChannel = bound.channel();
+    serverChannel = bindFuture.channel();
     loop.scheduleAtFixedRate(
         () -> checkTimeouts(dispatcher.now()),
         TIMEOUT_CHECK_INTERVAL_MILLIS,
@@ -115,12 +115,12 @@
         TimeUnit.MILLISECONDS);
   }
 
-  /** The address that the frontend listens on. */
+  /** The address that the frontend listens on; its port is the one bound if 0 is configured. */
   public InetSocketAddress address() {
     return (InetSocketAddress) serverChannel.localAddress();
   }
 
-  /** From now on, a response with no other request behind it asks the client to disconnect. */
+  /** From now on, responses ask clients to disconnect unless further requests have arrived. */
   public void beginGracefulShutdown() {
     if (shutdownPhase == ShutdownPhase.NONE) {
       shutdownPhase = ShutdownPhase.GRACEFUL;
@@ -171,8 +171,8 @@
 
   /**
    * Resumes accepting clients if the descriptor budget has room for one. Accepting a client for
-   * each one that disconnects, whatever the budget, could use up the descriptors of the process,
-   * and without a free descriptor the JVM can't even load a class.
+   * each one that disconnects, regardless of the budget, could use up the descriptors of the
+   * process, and without a free descriptor the JVM can't even load a class.
    */
   void resumeAccepting() {
     if (!serverChannel.config().isAutoRead() && descriptors.canAcceptClient(dispatcher.now())) {
@@ -202,7 +202,7 @@
 
     @Override
     protected void initChannel(Channel channel) {
-      // Not left to bind(): onClosed needs it, and a client may disconnect before bind() goes on.
+      // Set here as well as in bind(): onClosed needs it, and may be called before bind() returns.
       serverChannel = channel.parent();
       ClientConnection connection =
           new ClientConnection(Frontend.this, dispatcher, monitor, channel);
--- a/src/main/java/loadbalancer/proxy/frontend/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/frontend/RequestDispatcher.java
@@ -18,9 +18,10 @@
   /**
    * Accepts a validated request. The responder may be called before this returns.
    *
-   * @param requestForId builds what the policy is told of the request; its argument is the id that
-   *     the dispatcher assigns to the request
-   * @param message the request as it is forwarded; one reference to it is taken over
+   * @param requestForId builds the description of the request for the policy; its argument is the
+   *     id that the dispatcher assigns to the request
+   * @param message the request as it is forwarded; the callee takes ownership of one reference to
+   *     it
    */
   DispatchedRequest dispatch(
       Function<Long, ClientRequest> requestForId, FullHttpRequest message, Responder responder);
--- a/src/main/java/loadbalancer/proxy/frontend/RequestPipeline.java
+++ b/src/main/java/loadbalancer/proxy/frontend/RequestPipeline.java
@@ -32,7 +32,7 @@
     return requests.isEmpty();
   }
 
-  /** Adds a request and takes over one reference to it. */
+  /** Adds a request and takes ownership of one reference to it. */
   void add(FullHttpRequest request, double arrivedAtMillis) {
     PipelinedRequest added = new PipelinedRequest(request, arrivedAtMillis);
     budget.reserve(added.bodyBytes());
--- a/src/main/java/loadbalancer/proxy/frontend/RequestValidator.java
+++ b/src/main/java/loadbalancer/proxy/frontend/RequestValidator.java
@@ -120,12 +120,12 @@
    */
   private static void validateMethod(FullHttpRequest request, RequestClass requestClass)
       throws BadRequestException {
-    boolean get = isGet(request);
-    if (get != (requestClass.idempotency() == Idempotency.IDEMPOTENT)
-        || (!get && !request.method().equals(HttpMethod.POST))) {
+    boolean isGet = isGet(request);
+    if (isGet != (requestClass.idempotency() == Idempotency.IDEMPOTENT)
+        || (!isGet && !request.method().equals(HttpMethod.POST))) {
       throw new BadRequestException("the class wants another method");
     }
-    if (get && request.content().isReadable()) {
+    if (isGet && request.content().isReadable()) {
       throw new BadRequestException("a body that nobody reads");
     }
   }
@@ -138,9 +138,9 @@
    */
   private static void validateIdempotencyKey(HttpHeaders headers, RequestClass requestClass)
       throws BadRequestException {
-    boolean present = HeaderValues.token(headers, ProtocolHeaders.IDEMPOTENCY_KEY) != null;
-    boolean required = requestClass.idempotency() == Idempotency.DEDUPLICATED;
-    if (present != required) {
+    boolean hasKey = HeaderValues.token(headers, ProtocolHeaders.IDEMPOTENCY_KEY) != null;
+    boolean requiresKey = requestClass.idempotency() == Idempotency.DEDUPLICATED;
+    if (hasKey != requiresKey) {
       throw new BadRequestException("the class wants Idempotency-Key otherwise");
     }
   }
@@ -179,10 +179,11 @@
 
   /** The client's timeout without the time reserved for the response to reach the client. */
   private static double withoutResponseReserve(double timeoutMillis, double latenessMillis) {
-    double usualReserve =
+    double usualReserveMillis =
         Math.min(RESPONSE_RESERVE_MILLIS, MAX_RESPONSE_RESERVE_SHARE * timeoutMillis);
-    double lateReserve = Math.min(latenessMillis, MAX_LATE_RESPONSE_RESERVE_SHARE * timeoutMillis);
-    return timeoutMillis - Math.max(usualReserve, lateReserve);
+    double lateReserveMillis =
+        Math.min(latenessMillis, MAX_LATE_RESPONSE_RESERVE_SHARE * timeoutMillis);
+    return timeoutMillis - Math.max(usualReserveMillis, lateReserveMillis);
   }
 
   /** The ordering key from the cookie {@code key}; 0 if there is none. */
--- a/src/main/java/loadbalancer/proxy/frontend/ValidatedRequest.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ValidatedRequest.java
@@ -3,8 +3,8 @@
 import loadbalancer.model.ClientRequest;
 
 /**
- * What {@link RequestValidator} has read from a request that it accepted: its ID, and all that the
- * policy is told of it but the number that the instance assigns.
+ * What {@link RequestValidator} has read from a valid request: its ID, and the contents of {@link
+ * ClientRequest} except for the number that the instance assigns.
  *
  * @param requestId the client's identifier of the request
  * @param requestClass index of the request class in the configuration
--- a/src/test/java/loadbalancer/proxy/CrossZoneSpillTest.java
+++ b/src/test/java/loadbalancer/proxy/CrossZoneSpillTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Where the policy sends requests while an endpoint queues them, or fails them at once. */
+/** Where the policy sends requests while an endpoint queues them or immediately fails them. */
 @Timeout(120)
 class CrossZoneSpillTest {
 
@@ -72,10 +72,15 @@
       // The expected latency starts at a fifth of the objective, and the endpoint is assumed to
       // work
       // on 5 requests at once, so the expected queueing delay of 25 is the whole objective.
-      assertTrue(received[0] <= 55, received[0] + " requests were sent to the own zone");
+      assertTrue(
+          received[0] <= 55,
+          received[0] + " of " + REQUESTS + " requests were sent to the own zone, over 55");
       assertTrue(
           received[0] >= REQUESTS / 4,
-          received[0] + " requests were sent to the own zone in spite of the cross-zone penalty");
+          received[0]
+              + " of "
+              + REQUESTS
+              + " requests were sent to the own zone, less than a quarter");
     }
   }
 
@@ -115,7 +120,8 @@
         }
       }
       assertTrue(
-          failedCount <= REQUESTS / 10, failedCount + " requests failed at the faulty endpoint");
+          failedCount <= REQUESTS / 10,
+          failedCount + " of " + REQUESTS + " requests were sent to the failing endpoint");
     }
   }
 }
--- a/src/test/java/loadbalancer/proxy/DescriptorLimitTest.java
+++ b/src/test/java/loadbalancer/proxy/DescriptorLimitTest.java
@@ -19,24 +19,24 @@
 
   /** Connects more clients than the process has descriptors; none of them sends a request. */
   private static List<HttpPeer> connectIdleClients(InetSocketAddress proxy) throws IOException {
-    List<HttpPeer> idle = new ArrayList<>();
+    List<HttpPeer> idleClients = new ArrayList<>();
     for (int i = 0; i < IDLE_CLIENTS; i++) {
-      idle.add(HttpPeer.connect(proxy));
+      idleClients.add(HttpPeer.connect(proxy));
     }
-    return idle;
+    return idleClients;
   }
 
   /** Sends the list in response to calls to discovery until the process has handled it. */
-  private static HttpPeer sendEndpointList(ScriptedListener discovery, String list)
+  private static HttpPeer sendEndpointList(ScriptedListener discovery, String endpointList)
       throws Exception {
     while (true) {
-      HttpPeer call = discovery.accept();
+      HttpPeer discoveryConnection = discovery.accept();
       try {
-        if (call.read() != null) {
-          call.write(ProxyFixture.okResponse(list));
+        if (discoveryConnection.read() != null) {
+          discoveryConnection.write(ProxyFixture.okResponse(endpointList));
           // The next call on the connection shows that the list has been handled.
-          if (call.read() != null) {
-            return call;
+          if (discoveryConnection.read() != null) {
+            return discoveryConnection;
           }
         }
       } catch (IOException e) {
@@ -46,19 +46,19 @@
   }
 
   private static void assertForwardedTo(
-      ScriptedListener upstream, String id, InetSocketAddress proxy) throws Exception {
+      ScriptedListener upstream, String requestId, InetSocketAddress proxy) throws Exception {
     try (HttpPeer client = HttpPeer.connect(proxy)) {
-      client.write(ProxyFixture.idempotentRequest(id, "15"));
-      HttpPeer attempt = upstream.accept();
-      assertEquals(id, attempt.read().header("X-Txn"));
-      attempt.write(ProxyFixture.okResponse(id));
-      assertEquals(id, client.read().body());
+      client.write(ProxyFixture.idempotentRequest(requestId, "15"));
+      HttpPeer upstreamConnection = upstream.accept();
+      assertEquals(requestId, upstreamConnection.read().header("X-Txn"));
+      upstreamConnection.write(ProxyFixture.okResponse(requestId));
+      assertEquals(requestId, client.read().body());
     }
   }
 
   @Test
   void idleClientsThatUseAllDescriptorsBlockNeitherDiscoveryNorAttempts() throws Exception {
-    List<HttpPeer> idle = new ArrayList<>();
+    List<HttpPeer> idleClients = new ArrayList<>();
     try (ProxyFixture fixture = new ProxyFixture(2);
         ScriptedListener secondDiscovery = new ScriptedListener()) {
       fixture.registryMode = "automatic";
@@ -74,28 +74,28 @@
           ProxyProcess.startInShell(fixture, "ulimit -n " + DESCRIPTOR_LIMIT + "; exec")) {
         proxy.connect().close();
         // Idle clients take all descriptors before discovery has responded.
-        idle.addAll(connectIdleClients(proxy.address));
-        assertTrue(idle.get(0).isClosedByPeer());
-        idle.addAll(connectIdleClients(proxy.address));
+        idleClients.addAll(connectIdleClients(proxy.address));
+        assertTrue(idleClients.get(0).isClosedByPeer());
+        idleClients.addAll(connectIdleClients(proxy.address));
         HttpPeer watch =
             sendEndpointList(
                 fixture.discovery, ProxyFixture.endpointList(42, false, drainingEntries[0]));
         assertForwardedTo(fixture.upstreams.get(1), "first", proxy.address);
         // The process needs a descriptor for a new watch, while idle clients take all of them.
         watch.reset();
-        idle.addAll(connectIdleClients(proxy.address));
+        idleClients.addAll(connectIdleClients(proxy.address));
         sendEndpointList(
             fixture.discovery,
             ProxyFixture.endpointList(43, false, upEntries[0], drainingEntries[1]));
         assertForwardedTo(fixture.upstreams.get(0), "second", proxy.address);
         proxy.reload(proxy.config.replace(fixture.discovery.address(), secondDiscovery.address()));
-        idle.addAll(connectIdleClients(proxy.address));
+        idleClients.addAll(connectIdleClients(proxy.address));
         sendEndpointList(
             secondDiscovery, ProxyFixture.endpointList(7, true, drainingEntries[0], upEntries[1]));
         assertForwardedTo(fixture.upstreams.get(1), "third", proxy.address);
       }
     } finally {
-      for (HttpPeer client : idle) {
+      for (HttpPeer client : idleClients) {
         client.close();
       }
     }
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -19,14 +19,14 @@
 
   private static final String HEALTH_CHECK = "GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n";
 
-  private static void assertExitsWithOneLine(int status, Path config, String... arguments)
+  private static void assertExitsWithOneLine(int expectedStatus, Path config, String... arguments)
       throws Exception {
     Process process = ProxyProcess.startProgram(config, arguments);
-    try (BufferedReader error = process.errorReader()) {
-      assertEquals(1, error.lines().filter(line -> !line.isBlank()).count());
+    try (BufferedReader standardError = process.errorReader()) {
+      assertEquals(1, standardError.lines().filter(line -> !line.isBlank()).count());
     }
     assertTrue(process.waitFor(HttpPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
-    assertEquals(status, process.exitValue());
+    assertEquals(expectedStatus, process.exitValue());
   }
 
   @Test
@@ -61,18 +61,19 @@
   void sigtermCompletesAcceptedRequests() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture();
         ProxyProcess proxy = ProxyProcess.start(fixture)) {
-      HttpPeer accepted = proxy.connect();
-      HttpPeer idle = HttpPeer.connect(proxy.address);
-      idle.write(HEALTH_CHECK);
-      assertEquals("keep-alive", idle.read().headers().getOrDefault("connection", "keep-alive"));
-      accepted.write(ProxyFixture.idempotentRequest("accepted", "10"));
+      HttpPeer acceptedClient = proxy.connect();
+      HttpPeer idleClient = HttpPeer.connect(proxy.address);
+      idleClient.write(HEALTH_CHECK);
+      assertEquals(
+          "keep-alive", idleClient.read().headers().getOrDefault("connection", "keep-alive"));
+      acceptedClient.write(ProxyFixture.idempotentRequest("accepted", "10"));
       HttpPeer upstream = fixture.upstreams.get(0).accept();
       upstream.read();
       proxy.process.destroy();
       // A second SIGTERM, and a reload during the shutdown, change nothing.
       proxy.process.destroy();
       proxy.sendSighup();
-      idle.write(ProxyFixture.idempotentRequest("reused", "10"));
+      idleClient.write(ProxyFixture.idempotentRequest("reused", "10"));
       HttpPeer secondUpstream = fixture.upstreams.get(0).accept();
       secondUpstream.read();
       // New clients, the request sent after the signal and the one sent before it are all served.
@@ -85,12 +86,12 @@
         assertEquals(200, healthResponse.status());
       }
       secondUpstream.write(ProxyFixture.okResponse("reused"));
-      HttpPeer.Message reused = idle.read();
+      HttpPeer.Message reused = idleClient.read();
       assertEquals("reused", reused.body());
       assertEquals("close", reused.header("Connection"));
-      assertTrue(idle.isClosedByPeer());
+      assertTrue(idleClient.isClosedByPeer());
       upstream.write(ProxyFixture.okResponse("accepted"));
-      assertEquals("accepted", accepted.read().body());
+      assertEquals("accepted", acceptedClient.read().body());
       assertTrue(proxy.process.waitFor(HttpPeer.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     }
   }
@@ -216,24 +217,24 @@
   @Test
   void requestsUnreadInTheKernelAtTheEndOfAShutdownGetAResponse() throws Exception {
     try (ProxyFixture fixture = new ProxyFixture().start()) {
-      HttpPeer existing = fixture.connectClient();
-      existing.write(HEALTH_CHECK);
-      existing.read();
-      HttpPeer[] unread = {existing, null};
+      HttpPeer existingClient = fixture.connectClient();
+      existingClient.write(HEALTH_CHECK);
+      existingClient.read();
+      HttpPeer[] unreadClients = {existingClient, null};
       fixture.server.onLoop(
           (frontend, upstreams) -> {
             try {
               // The event loop, on which this runs, reads neither before the forced shutdown.
-              existing.write(ProxyFixture.idempotentRequest("1", "10"));
-              unread[1] = fixture.connectClient();
-              unread[1].write(ProxyFixture.idempotentRequest("2", "10"));
+              existingClient.write(ProxyFixture.idempotentRequest("1", "10"));
+              unreadClients[1] = fixture.connectClient();
+              unreadClients[1].write(ProxyFixture.idempotentRequest("2", "10"));
             } catch (IOException e) {
               throw new java.io.UncheckedIOException(e);
             }
             fixture.server.forceShutdown();
             return null;
           });
-      for (HttpPeer client : unread) {
+      for (HttpPeer client : unreadClients) {
         HttpPeer.Message response = client.read();
         assertEquals(503, response.status());
         assertEquals("close", response.header("Connection"));
--- a/src/test/java/loadbalancer/proxy/LateEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/LateEventLoopTest.java
@@ -41,7 +41,7 @@
     void run() throws Exception;
   }
 
-  /** Runs an action on the event loop, which handles no event meanwhile. */
+  /** Runs an action on the event loop, which handles no other event until the action returns. */
   private static void blockEventLoop(ProxyFixture fixture, Action action) throws Exception {
     fixture.server.onLoop(
         (frontend, upstreams) -> {
@@ -140,7 +140,10 @@
           writtenAt + 2_000 - ScriptedPolicy.takeNext(requests).deadlineMillis();
       assertTrue(
           reservedMillis >= BLOCKED_MILLIS - CLOCK_TOLERANCE_MILLIS,
-          reservedMillis + " ms reserved");
+          reservedMillis
+              + " ms reserved for the response, after a delay of "
+              + BLOCKED_MILLIS
+              + " ms");
     }
   }
 
@@ -175,13 +178,13 @@
 
   @Test
   void latenessOfTheEventLoopIsLogged() throws Exception {
-    LinkedBlockingQueue<String> lines = new LinkedBlockingQueue<>();
-    Handler log =
+    LinkedBlockingQueue<String> latenessLines = new LinkedBlockingQueue<>();
+    Handler logHandler =
         new Handler() {
           @Override
-          public void publish(LogRecord line) {
-            if (line.getMessage().startsWith("event loop late: ")) {
-              lines.add(line.getMessage());
+          public void publish(LogRecord logRecord) {
+            if (logRecord.getMessage().startsWith("event loop late: ")) {
+              latenessLines.add(logRecord.getMessage());
             }
           }
 
@@ -195,17 +198,18 @@
             // There is nothing to close.
           }
         };
-    ProxyLogger.LOGGER.addHandler(log);
+    ProxyLogger.LOGGER.addHandler(logHandler);
     try (ProxyFixture fixture = new ProxyFixture().start()) {
       blockEventLoop(fixture, () -> TimeUnit.MILLISECONDS.sleep(BLOCKED_MILLIS));
-      Matcher line =
+      Matcher latenessLine =
           Pattern.compile("event loop late: iterations=\\d+ p50_ms=\\d+ p99_ms=\\d+ max_ms=(\\d+)")
-              .matcher(ScriptedPolicy.takeNext(lines));
-      assertTrue(line.matches());
+              .matcher(ScriptedPolicy.takeNext(latenessLines));
+      assertTrue(latenessLine.matches());
       assertTrue(
-          Integer.parseInt(line.group(1)) >= BLOCKED_MILLIS - CLOCK_TOLERANCE_MILLIS, line.group());
+          Integer.parseInt(latenessLine.group(1)) >= BLOCKED_MILLIS - CLOCK_TOLERANCE_MILLIS,
+          latenessLine.group());
     } finally {
-      ProxyLogger.LOGGER.removeHandler(log);
+      ProxyLogger.LOGGER.removeHandler(logHandler);
     }
   }
 
--- a/src/test/java/loadbalancer/proxy/ScriptedPolicy.java
+++ b/src/test/java/loadbalancer/proxy/ScriptedPolicy.java
@@ -48,7 +48,7 @@
     return this;
   }
 
-  /** Sends an attempt to the upstream with this index; a timeout of 0 stands for the deadline. */
+  /** Sends an attempt to the upstream with this index; with a timeout of 0, until the deadline. */
   public void sendTo(int upstreamIndex, ClientRequest request, double timeoutMillis) {
     actions.sendAttempt(request.id(), endpoints.get(upstreamIndex).id(), timeoutMillis);
   }
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -55,8 +55,10 @@
     long jacksonClasses =
         classes.stream().filter(name -> name.startsWith("com.fasterxml.jackson.")).count();
     assertTrue(
-        jacksonClasses <= MAX_JACKSON_CLASSES, jacksonClasses + " classes of Jackson loaded");
-    assertTrue(classes.size() <= MAX_CLASSES, classes.size() + " classes loaded");
+        jacksonClasses <= MAX_JACKSON_CLASSES,
+        jacksonClasses + " classes of Jackson loaded; limit " + MAX_JACKSON_CLASSES);
+    assertTrue(
+        classes.size() <= MAX_CLASSES, classes.size() + " classes loaded; limit " + MAX_CLASSES);
   }
 
   /** Starts a process that has half of its archive written; SIGTERM runs {@code onSigterm}. */
--- a/src/test/java/loadbalancer/proxy/frontend/FrontendTest.java
+++ b/src/test/java/loadbalancer/proxy/frontend/FrontendTest.java
@@ -175,25 +175,25 @@
 
     @Test
     void twoServersInOneProcessKeepTheirSettingsApart() throws Exception {
-      try (ProxyFixture one = new ProxyFixture();
-          ProxyFixture other = new ProxyFixture()) {
+      try (ProxyFixture firstServer = new ProxyFixture();
+          ProxyFixture otherServer = new ProxyFixture()) {
         // Guards against static state: the same class is idempotent in one server only.
-        other.configEdit =
+        otherServer.configEdit =
             config ->
                 config
                     .replace("look-up", "\0")
                     .replace("credit-spend", "look-up")
                     .replace("\0", "credit-spend");
-        one.start();
-        other.start();
-        for (ProxyFixture fixture : new ProxyFixture[] {other, one, other}) {
+        firstServer.start();
+        otherServer.start();
+        for (ProxyFixture fixture : new ProxyFixture[] {otherServer, firstServer, otherServer}) {
           HttpPeer idempotentClient = fixture.connectClient();
           idempotentClient.write(ProxyFixture.idempotentRequest("g", "10"));
           HttpPeer atMostOnceClient = fixture.connectClient();
           atMostOnceClient.write(ProxyFixture.atMostOnceRequest("s", "x"));
           // Both are forwarded before one is answered, or both could use one upstream connection.
           List<HttpPeer> upstreamPeers = new ArrayList<>();
-          for (int i = 0; fixture == one && i < 2; i++) {
+          for (int i = 0; fixture == firstServer && i < 2; i++) {
             upstreamPeers.add(fixture.upstreams.get(0).accept());
             upstreamPeers.get(i).read();
           }
@@ -201,10 +201,10 @@
             upstream.write(ProxyFixture.okResponse("served"));
           }
           for (HttpPeer client : new HttpPeer[] {idempotentClient, atMostOnceClient}) {
-            assertEquals(fixture == one ? 200 : 400, client.read().status());
+            assertEquals(fixture == firstServer ? 200 : 400, client.read().status());
           }
         }
-        assertEquals(0, other.upstreams.get(0).pendingConnections());
+        assertEquals(0, otherServer.upstreams.get(0).pendingConnections());
       }
     }
   }
@@ -305,7 +305,7 @@
     @Test
     void closesSilentClientAndRejectsPartialRequest() throws Exception {
       try (ProxyFixture fixture = new ProxyFixture().start()) {
-        HttpPeer silent = fixture.connectClient();
+        HttpPeer silentClient = fixture.connectClient();
         HttpPeer[] partialClients = {
           fixture.connectClient(), fixture.connectClient(), fixture.connectClient()
         };
@@ -314,7 +314,7 @@
         partialClients[2].write("POST /credit-spend HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
         awaitInputRead(fixture);
         checkTimeoutsAfter(fixture, 3_000);
-        assertTrue(silent.isClosedByPeer());
+        assertTrue(silentClient.isClosedByPeer());
         for (HttpPeer client : partialClients) {
           assertEquals(408, client.read().status());
           assertTrue(client.isClosedByPeer());
@@ -326,20 +326,20 @@
     @Test
     void closesIdleClientButNotOneWithRequestInFlight() throws Exception {
       try (ProxyFixture fixture = new ProxyFixture().start()) {
-        HttpPeer idle = fixture.connectClient();
-        idle.write(HEALTH_CHECK);
-        idle.read();
-        HttpPeer busy = fixture.connectClient();
-        busy.write(HEALTH_CHECK);
-        busy.read();
+        HttpPeer idleClient = fixture.connectClient();
+        idleClient.write(HEALTH_CHECK);
+        idleClient.read();
+        HttpPeer busyClient = fixture.connectClient();
+        busyClient.write(HEALTH_CHECK);
+        busyClient.read();
         // The request must not be lost, whether it is still unread in the kernel or in flight.
-        busy.write(ProxyFixture.idempotentRequest("1", "10"));
+        busyClient.write(ProxyFixture.idempotentRequest("1", "10"));
         checkTimeoutsAfter(fixture, 9_000);
-        assertTrue(idle.isClosedByPeer());
+        assertTrue(idleClient.isClosedByPeer());
         HttpPeer upstream = fixture.upstreams.get(0).accept();
         upstream.read();
         upstream.write(ProxyFixture.okResponse("kept"));
-        assertEquals("kept", busy.read().body());
+        assertEquals("kept", busyClient.read().body());
       }
     }
 
@@ -400,39 +400,39 @@
     @Test
     void disconnectedClientMaySendItsRequestAgain() throws Exception {
       try (ProxyFixture fixture = new ProxyFixture().start()) {
-        HttpPeer first = fixture.connectClient();
-        first.write(ProxyFixture.idempotentRequest("same", "10"));
+        HttpPeer firstClient = fixture.connectClient();
+        firstClient.write(ProxyFixture.idempotentRequest("same", "10"));
         fixture.upstreams.get(0).accept().read();
-        first.close();
-        HttpPeer second = fixture.connectClient();
-        second.write(ProxyFixture.idempotentRequest("same", "10"));
+        firstClient.close();
+        HttpPeer secondClient = fixture.connectClient();
+        secondClient.write(ProxyFixture.idempotentRequest("same", "10"));
         HttpPeer upstream = fixture.upstreams.get(0).accept();
         upstream.read();
         upstream.write(ProxyFixture.okResponse("second"));
-        assertEquals("second", second.read().body());
+        assertEquals("second", secondClient.read().body());
       }
     }
 
     @Test
     void requestIdIsFreeIfDisconnectOfItsClientIsUnread() throws Exception {
       try (ProxyFixture fixture = new ProxyFixture().start()) {
-        HttpPeer first = fixture.connectClient();
-        first.write(ProxyFixture.idempotentRequest("same", "10"));
+        HttpPeer firstClient = fixture.connectClient();
+        firstClient.write(ProxyFixture.idempotentRequest("same", "10"));
         fixture.upstreams.get(0).accept().read();
-        HttpPeer second = fixture.connectClient();
-        second.write(HEALTH_CHECK);
-        second.read();
+        HttpPeer secondClient = fixture.connectClient();
+        secondClient.write(HEALTH_CHECK);
+        secondClient.read();
         runOnLoop(
             fixture,
             () -> {
               // The request came first, so the server reads it before the disconnect.
-              second.write(ProxyFixture.idempotentRequest("same", "10"));
-              first.close();
+              secondClient.write(ProxyFixture.idempotentRequest("same", "10"));
+              firstClient.close();
             });
         HttpPeer upstream = fixture.upstreams.get(0).accept();
         upstream.read();
         upstream.write(ProxyFixture.okResponse("second"));
-        assertEquals("second", second.read().body());
+        assertEquals("second", secondClient.read().body());
       }
     }
 
@@ -442,8 +442,8 @@
         runOnLoop(
             fixture,
             () -> {
-              try (HttpPeer departing = HttpPeer.connect(fixture.server.address())) {
-                departing.write(ProxyFixture.idempotentRequest("left", "10"));
+              try (HttpPeer departingClient = HttpPeer.connect(fixture.server.address())) {
+                departingClient.write(ProxyFixture.idempotentRequest("left", "10"));
               }
             });
         awaitInputRead(fixture);
@@ -467,13 +467,13 @@
         runOnLoop(
             fixture,
             () -> {
-              HttpPeer departing = HttpPeer.connect(fixture.server.address());
-              departing.write(
+              HttpPeer departingClient = HttpPeer.connect(fixture.server.address());
+              departingClient.write(
                   ProxyFixture.idempotentRequest("left", "10") + furtherInput(inputKind));
               if (reset) {
-                departing.reset();
+                departingClient.reset();
               } else {
-                departing.close();
+                departingClient.close();
               }
             });
         awaitInputRead(fixture);
@@ -486,14 +486,14 @@
     @Test
     void doesNotForwardRequestOfClientThatDisconnectedOnKeepAliveConnection() throws Exception {
       try (ProxyFixture fixture = new ProxyFixture().start()) {
-        HttpPeer departing = fixture.connectClient();
-        departing.write(HEALTH_CHECK);
-        departing.read();
+        HttpPeer departingClient = fixture.connectClient();
+        departingClient.write(HEALTH_CHECK);
+        departingClient.read();
         runOnLoop(
             fixture,
             () -> {
-              departing.write(ProxyFixture.idempotentRequest("left", "10"));
-              departing.close();
+              departingClient.write(ProxyFixture.idempotentRequest("left", "10"));
+              departingClient.close();
             });
         awaitInputRead(fixture);
         HttpPeer client = fixture.connectClient();
@@ -582,9 +582,9 @@
               actions.sendAttempt(outcome.requestId(), fixture.policy.endpoints.get(1).id(), 0);
             };
         client.write(ProxyFixture.idempotentRequest("again", "10"));
-        HttpPeer first = fixture.upstreams.get(0).accept();
-        first.read();
-        first.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+        HttpPeer firstUpstream = fixture.upstreams.get(0).accept();
+        firstUpstream.read();
+        firstUpstream.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
         assertEquals(AttemptOutcome.ERROR, fixture.policy.nextOutcome());
         assertEquals(AttemptOutcome.NOT_SENT, fixture.policy.nextOutcome());
         assertEquals(1, ScriptedPolicy.takeNext(fixture.policy.disconnected));
