--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryCall.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryCall.java
@@ -18,27 +18,30 @@
 import loadbalancer.proxy.json.JsonReader;
 import loadbalancer.proxy.logging.ProxyLogger;
 
-/** One HTTP call to discovery. Its outcome is reported once, unless it is cancelled before. */
+/**
+ * One HTTP call to discovery, for an endpoint list or an update of it. The listener is notified of
+ * its outcome exactly once, or never if the call is cancelled. Used on the event loop thread only.
+ */
 final class DiscoveryCall {
 
   private static final String ENDPOINT_LIST_PATH = "/catalog/members";
 
-  /** What a call reports to. */
+  /** Receives the outcome of a call. */
   interface Listener {
 
-    /** Discovery answered with a well-formed update. */
+    /** Called when discovery has sent a well-formed update. */
     void onAnswered(DiscoveryCall call, EndpointListUpdate update);
 
-    /** No usable answer came; the call's connection is closed. */
+    /** Called when no usable response came; the call's connection is closed. */
     void onFailed(DiscoveryCall call);
   }
 
   private enum State {
-    /** No request was written yet. */
+    /** The request is not written yet. */
     CONNECTING,
     /** The request is written and the timeout runs. */
     AWAITING_RESPONSE,
-    /** Answered, failed or cancelled; whatever arrives later is ignored. */
+    /** Answered, failed or cancelled; later events are ignored. */
     ENDED
   }
 
@@ -53,10 +56,10 @@
   private Future<?> timeout;
 
   /**
-   * Prepares a call.
+   * Creates a call that is not started.
    *
-   * @param query the query part of the URI with its question mark, or nothing
-   * @param timeoutMillis how long after the request is written the response must be complete
+   * @param query the query of the URI with its question mark; empty to request the full list
+   * @param timeoutMillis how long the complete response is awaited after the request is written
    */
   DiscoveryCall(
       DiscoveryTransport transport,
@@ -73,37 +76,38 @@
     this.listener = listener;
   }
 
-  /** Where this call goes. */
+  /** The address of discovery to which this call is made. */
   InetSocketAddress address() {
     return address;
   }
 
-  /** The connection of this call; null until it is established. */
+  /** The connection of this call; null until its connect has ended. */
   Channel channel() {
     return channel;
   }
 
-  /** Sends the request over an open connection, or over a new one if it is null or closed. */
-  void start(Channel connection) {
-    if (connection != null && connection.isActive()) {
-      sendRequest(connection);
+  /** Sends the request over an idle connection, or over a new one if that is null or closed. */
+  void start(Channel idleConnection) {
+    if (idleConnection != null && idleConnection.isActive()) {
+      sendRequest(idleConnection);
       return;
     }
-    ChannelFuture connect = transport.connect(address);
-    if (connect.cause() instanceof ChannelException) {
-      // No socket could be created for want of a descriptor, so the future belongs to no loop.
+    ChannelFuture connectFuture = transport.connect(address);
+    if (connectFuture.cause() instanceof ChannelException) {
+      // The process has no descriptor left for the socket. The channel is not registered with the
+      // event loop, so a listener of this future would not be called on its thread.
       transport.freeDescriptors();
       transport.execute(this::fail);
       return;
     }
-    connect.addListener((ChannelFuture connected) -> onConnected(connected));
+    connectFuture.addListener((ChannelFuture ended) -> onConnectEnded(ended));
   }
 
-  private void onConnected(ChannelFuture connected) {
-    channel = connected.channel();
+  private void onConnectEnded(ChannelFuture connectFuture) {
+    channel = connectFuture.channel();
     if (state == State.ENDED) {
       channel.close();
-    } else if (connected.isSuccess()) {
+    } else if (connectFuture.isSuccess()) {
       sendRequest(channel);
     } else {
       fail();
@@ -125,21 +129,21 @@
     channel
         .writeAndFlush(request)
         .addListener(
-            write -> {
-              if (!write.isSuccess()) {
+            writeResult -> {
+              if (!writeResult.isSuccess()) {
                 fail();
               }
             });
   }
 
-  /** Handles at once what the kernel holds of the response. */
+  /** Reads and handles what the kernel has received of the response. */
   void readPending() {
     if (state == State.AWAITING_RESPONSE) {
       DescriptorBudget.readNow(channel);
     }
   }
 
-  /** Ends the call without a report and closes its connection. */
+  /** Ends the call without notifying the listener, and closes its connection. */
   void cancel() {
     state = State.ENDED;
     if (timeout != null) {
@@ -150,7 +154,7 @@
     }
   }
 
-  /** Ends the call with a failure, unless it has ended. */
+  /** Ends the call with a failure; has no effect if it has ended already. */
   void fail() {
     if (state != State.ENDED) {
       cancel();
@@ -158,7 +162,7 @@
     }
   }
 
-  /** Takes the response; a malformed one is a failure. */
+  /** Called with the complete response. If it is invalid, the call fails. */
   void onResponse(FullHttpResponse response) {
     if (state == State.ENDED) {
       return;
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -11,26 +11,28 @@
 
 /**
  * Watches discovery for updates of the endpoint list, and fetches the full list on demand. A call
- * that brings no usable answer is reported once as {@link EndpointUpdateType#FAILED}, and the known
- * list stays in use; when to try again is the policy's decision. All methods are called on the
- * event loop.
+ * without a usable response is reported as {@link EndpointUpdateType#FAILED}, and the list that was
+ * applied last stays in use. When to call again is the policy's decision. Used on the event loop
+ * thread only.
  */
 public final class DiscoveryClient {
 
   /**
-   * The longest time a watch waits for an update, in milliseconds. A dead watch shows only when its
-   * response is overdue, and the list grows stale until then.
+   * The longest time for which a watch asks discovery to wait for an update, in milliseconds. A
+   * watch whose connection is dead is detected only once its response is overdue, and until then
+   * this instance misses updates.
    */
   public static final int MAX_WATCH_MILLIS = 2_000;
 
-  /** In place of a version while no list of the present discovery is known. */
+  /** The version while no list of the discovery at the current address has been applied. */
   private static final long NO_VERSION = -1;
 
-  /** Receives the updates. */
+  /** Receives the updates of the endpoint list. */
   public interface Listener {
 
     /**
-     * Applies an update. An exception counts as a failed call.
+     * Applies an update, or handles a failed call. If this throws an exception for an update, the
+     * call counts as failed.
      *
      * @param type {@code FULL}, {@code DELTA} or {@code FAILED}
      * @param update the update; null if the call failed
@@ -67,24 +69,26 @@
         }
       };
 
+  /** The current address of discovery. */
   private InetSocketAddress address;
 
   /** The version of the list that was applied last, or {@link #NO_VERSION}. */
   private long version;
 
+  /** Whether the policy has started the watch. After a failure it has to restart the watch. */
   private boolean watching;
 
   /** The watch call in progress; null if there is none. */
   private DiscoveryCall watchCall;
 
-  /** The connection that the last watch left open for the next one; null if there is none. */
+  /** The connection of the last answered watch call, for the next one; null if there is none. */
   private Channel idleConnection;
 
   /**
    * Creates a client that makes no call yet.
    *
    * @param freeDescriptors closes idle connections; called if no descriptor is left for a new one
-   * @param maxWatchMillis the longest time a watch waits for an update, in milliseconds
+   * @param maxWatchMillis the longest time for which a watch asks discovery to wait for an update
    */
   public DiscoveryClient(
       EventLoop loop,
@@ -100,7 +104,7 @@
         maxWatchMillis);
   }
 
-  /** Creates a client whose connections the given transport opens. */
+  /** Creates a client that uses the given transport. */
   DiscoveryClient(
       DiscoverySettings settings,
       DiscoveryTransport transport,
@@ -115,21 +119,22 @@
   }
 
   /**
-   * Begins or ends the watch. A watch call in progress is cancelled without a report. If the watch
-   * begins anew, it uses a new connection, since a dead one cannot be told from one without
-   * updates.
+   * Starts, restarts or stops the watch. A watch call in progress is cancelled without being
+   * reported as failed, and its connection is closed: while no update arrives, a dead connection
+   * cannot be told from a working one.
    */
-  public void watch(boolean on) {
-    watching = on;
+  public void watch(boolean enabled) {
+    watching = enabled;
     cancelWatchCall();
-    if (on) {
+    if (enabled) {
       startWatchCall();
     }
   }
 
   /**
-   * Moves to another discovery. The watch call in progress is cancelled without a report, and the
-   * full list is requested: the versions of two discoveries are unrelated.
+   * Switches to the discovery at another address. A watch call in progress is cancelled without
+   * being reported as failed. The next watch call requests the full list, since the list versions
+   * of two discovery servers are unrelated.
    */
   public void switchTo(InetSocketAddress newAddress) {
     if (newAddress.equals(address)) {
@@ -148,16 +153,16 @@
   }
 
   /**
-   * Handles at once what the kernel holds of the watch's response. Does nothing while a response is
-   * being handled.
+   * Reads and handles what the kernel has received of the response to the watch call. Has no effect
+   * while a response is being handled.
    */
   public void readPending() {
-    if (watchCall != null && !transport.isDelivering()) {
+    if (watchCall != null && !transport.isHandlingResponse()) {
       watchCall.readPending();
     }
   }
 
-  /** Requests the full list once, over a connection of its own. */
+  /** Requests the full list once, over a separate connection. */
   public void fetch() {
     newCall("", timing.fetchTimeoutMillis(), fetchListener).start(null);
   }
@@ -174,8 +179,9 @@
     watchCall.start(idleConnection);
   }
 
-  private DiscoveryCall newCall(String query, int timeoutMillis, DiscoveryCall.Listener report) {
-    return new DiscoveryCall(transport, parser, address, query, timeoutMillis, report);
+  private DiscoveryCall newCall(
+      String query, int timeoutMillis, DiscoveryCall.Listener callListener) {
+    return new DiscoveryCall(transport, parser, address, query, timeoutMillis, callListener);
   }
 
   private void cancelWatchCall() {
@@ -192,10 +198,12 @@
     if (update.full() || version != NO_VERSION) {
       apply(update);
     } else {
-      // Changes are useless without the list that they belong to.
+      // An incremental update can't be applied without the list that it changes.
       reportFailure();
     }
-    // After an unusable list the policy decides: discovery would send it again, at once.
+    // After a failure the policy decides when to watch again: an immediate call would only bring
+    // the
+    // same unusable update.
     if (watching && watchCall == null && !timing.lastCallFailed()) {
       startWatchCall();
     }
@@ -209,7 +217,7 @@
 
   private void onFetchAnswered(DiscoveryCall call, EndpointListUpdate update) {
     call.channel().close();
-    if (fetchAgainIfMoved(call)) {
+    if (fetchAgainIfAddressChanged(call)) {
       return;
     }
     if (update.full()) {
@@ -220,13 +228,16 @@
   }
 
   private void onFetchFailed(DiscoveryCall call) {
-    if (!fetchAgainIfMoved(call)) {
+    if (!fetchAgainIfAddressChanged(call)) {
       reportFailure();
     }
   }
 
-  /** Repeats a fetch whose discovery was replaced meanwhile: its list and version are void. */
-  private boolean fetchAgainIfMoved(DiscoveryCall call) {
+  /**
+   * Repeats a fetch if the address of discovery has changed since it was started: its list and its
+   * version are those of the former discovery. Returns whether it did.
+   */
+  private boolean fetchAgainIfAddressChanged(DiscoveryCall call) {
     if (call.address().equals(address)) {
       return false;
     }
@@ -235,8 +246,8 @@
   }
 
   /**
-   * Passes an update on. If the listener fails, how much of the update was applied is unknown, so
-   * the next call requests the full list.
+   * Passes an update to the listener. If the listener throws an exception, it is unknown how much
+   * of the update was applied, so the next watch call requests the full list.
    */
   private void apply(EndpointListUpdate update) {
     timing.callEnded(false);
@@ -248,7 +259,7 @@
       version = NO_VERSION;
       timing.callEnded(true);
     }
-    // The listener may have begun a watch whose request failed at once.
+    // The call also counts as failed if the listener restarted the watch and that failed at once.
     if (timing.lastCallFailed()) {
       reportFailure();
     }
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryResponseHandler.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryResponseHandler.java
@@ -7,19 +7,22 @@
 import java.io.IOException;
 import loadbalancer.proxy.logging.ProxyLogger;
 
-/** Hands the responses and failures of one connection to the call that waits for them. */
+/**
+ * The channel handler of one connection to discovery. Passes a response, or the end of the
+ * connection, to the call that awaits it. Used on the event loop thread only.
+ */
 final class DiscoveryResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
 
   private final DiscoveryTransport transport;
 
-  /** The call that waits for a response; null while the connection is idle. */
+  /** The call that awaits a response; null while the connection is idle. */
   private DiscoveryCall pendingCall;
 
   DiscoveryResponseHandler(DiscoveryTransport transport) {
     this.transport = transport;
   }
 
-  /** The next response, or the end of the connection, belongs to this call. */
+  /** Passes the next response, or the end of the connection, to the given call. */
   void expectResponse(DiscoveryCall call) {
     pendingCall = call;
   }
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoverySettings.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoverySettings.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * What the discovery client needs to know at its start.
+ * The settings of a {@link DiscoveryClient}.
  *
- * @param address where discovery listens
- * @param explicitWatch whether the policy asks for the watch itself; otherwise an update counts as
- *     notified from the moment discovery has it
- * @param zones the names of the zones, by the index that the policy uses
- * @param machineTypes the names of the machine types, by the index that the policy uses
- * @param seed the seed of the watch durations; each instance has its own
- * @param knownVersion the version of the endpoint list that the instance starts with
+ * @param address the address of discovery; a configuration reload may change it later
+ * @param explicitWatch whether the policy starts the watch itself. Otherwise the proxy starts it,
+ *     and this instance counts as notified of an update as soon as discovery has it
+ * @param zones the names of the zones, at the index that the policy uses for each
+ * @param machineTypes the names of the machine types, at the index that the policy uses for each
+ * @param seed the seed of the random wait times of watches; differs between instances
+ * @param knownVersion the version of the endpoint list in the instance's configuration
  */
 public record DiscoverySettings(
     InetSocketAddress address,
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryTransport.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryTransport.java
@@ -15,7 +15,10 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Opens connections to discovery and delivers what arrives on them. Used on its event loop. */
+/**
+ * Opens connections to discovery and passes the responses to their calls. Used on the event loop
+ * thread only.
+ */
 final class DiscoveryTransport {
 
   private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
@@ -24,11 +27,12 @@
   private final EventLoop loop;
   private final Runnable freeDescriptors;
   private final Bootstrap bootstrap;
-  private boolean delivering;
+  private boolean handlingResponse;
 
   /**
-   * Opens sockets by {@code channelFactory}.
+   * Creates a transport without connections.
    *
+   * @param channelFactory creates the sockets; tests pass one that fails
    * @param freeDescriptors closes idle connections; called if no descriptor is left for a new one
    */
   DiscoveryTransport(
@@ -75,18 +79,21 @@
     return loop.schedule(task, delayMillis, TimeUnit.MILLISECONDS);
   }
 
-  /** Hands a response to its call. */
+  /** Passes a response to its call. */
   void deliver(DiscoveryCall call, FullHttpResponse response) {
-    delivering = true;
+    handlingResponse = true;
     try {
       call.onResponse(response);
     } finally {
-      delivering = false;
+      handlingResponse = false;
     }
   }
 
-  /** Whether a response is being handled; a channel must not be read from within its own read. */
-  boolean isDelivering() {
-    return delivering;
+  /**
+   * Whether a response is being handled. If so, its channel is being read and must not be read
+   * again until that read has returned.
+   */
+  boolean isHandlingResponse() {
+    return handlingResponse;
   }
 }
--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListParser.java
@@ -12,23 +12,28 @@
 import loadbalancer.model.Endpoint;
 import loadbalancer.model.EndpointState;
 
-/** Reads discovery's JSON form of the endpoint list. Immutable, for any thread. */
+/** Parses the endpoint list in discovery's JSON format. Immutable; may be used on any thread. */
 public final class EndpointListParser {
 
   private final List<String> zones;
   private final List<String> machineTypes;
 
-  /** Takes the names of the zones and machine types, by the index that the policy uses. */
+  /**
+   * Creates a parser.
+   *
+   * @param zones the names of the zones, at the index that the policy uses for each
+   * @param machineTypes the names of the machine types, at the index that the policy uses for each
+   */
   public EndpointListParser(List<String> zones, List<String> machineTypes) {
     this.zones = List.copyOf(zones);
     this.machineTypes = List.copyOf(machineTypes);
   }
 
   /**
-   * Reads a full list or an incremental update.
+   * Parses a full list or an incremental update. If any part of it is malformed, all of it is
+   * rejected: applying the rest as a full list would remove healthy endpoints.
    *
-   * @throws InvalidEndpointListException if any part of it is malformed, since half a list would
-   *     drop healthy endpoints
+   * @throws InvalidEndpointListException if any part of it is malformed
    */
   public EndpointListUpdate parse(JsonNode list) {
     JsonNode servers = list.get("servers");
@@ -46,10 +51,10 @@
     return new EndpointListUpdate(version.longValue(), list.path("full").asBoolean(), entries);
   }
 
-  private EndpointListUpdate.Entry parseEntry(JsonNode server, int position) {
+  private EndpointListUpdate.Entry parseEntry(JsonNode server, int entryIndex) {
     String id = server.path("id").asText("");
     if (id.isEmpty()) {
-      throw new InvalidEndpointListException("endpoint list: entry " + position + " has no 'id'");
+      throw new InvalidEndpointListException("endpoint list: entry " + entryIndex + " has no 'id'");
     }
     EndpointState state = parseState(server.path("state").asText(""), id);
     Endpoint endpoint =
@@ -62,8 +67,8 @@
             server.path("weight").asDouble(1),
             server.path("started_ms").asDouble(0));
     String address = server.path("addr").asText("");
-    boolean addressNeeded = state != EndpointState.REMOVED || !address.isEmpty();
-    return new EndpointListUpdate.Entry(endpoint, addressNeeded ? parseAddress(address) : null);
+    boolean parsesAddress = state != EndpointState.REMOVED || !address.isEmpty();
+    return new EndpointListUpdate.Entry(endpoint, parsesAddress ? parseAddress(address) : null);
   }
 
   private static EndpointState parseState(String state, String id) {
@@ -73,27 +78,31 @@
       case "removed" -> EndpointState.REMOVED;
       default ->
           throw new InvalidEndpointListException(
-              "endpoint " + id + ": state '" + state + "' is none of up, draining, removed");
+              "endpoint " + id + ": state '" + state + "' is not one of up, draining, removed");
     };
   }
 
-  /** Maps an ID to the same number on every instance, since the policy's subsets depend on it. */
+  /**
+   * Maps an endpoint's ID to a number. It must be the same on every instance, since the policy
+   * derives the subsets of endpoints from it.
+   */
   private static long numericId(String id) {
     CRC32C checksum = new CRC32C();
     checksum.update(id.getBytes(StandardCharsets.UTF_8));
     return (long) id.hashCode() << Integer.SIZE | checksum.getValue();
   }
 
-  /** The index of a name; all names that the settings lack share the first index after theirs. */
+  /** The index of a name; all unknown names share the index after the last known one. */
   private static int indexOf(String name, List<String> names) {
     int index = names.indexOf(name);
     return index < 0 ? names.size() : index;
   }
 
   /**
-   * Reads a numeric IP address with its port; host names are not resolved.
+   * Parses a numeric IP address with a port, such as {@code 127.0.0.1:8080}. Host names are not
+   * resolved but rejected.
    *
-   * @throws InvalidEndpointListException if the text is anything else
+   * @throws InvalidEndpointListException if the text is malformed
    */
   public static InetSocketAddress parseAddress(String text) {
     int colon = text.lastIndexOf(':');
@@ -111,6 +120,6 @@
   }
 
   private static String invalidAddress(String text) {
-    return "'" + text + "' is no address with a port";
+    return "'" + text + "' is not a numeric IP address with a port";
   }
 }
--- a/src/main/java/loadbalancer/proxy/discovery/InvalidEndpointListException.java
+++ b/src/main/java/loadbalancer/proxy/discovery/InvalidEndpointListException.java
@@ -1,6 +1,6 @@
 package loadbalancer.proxy.discovery;
 
-/** An endpoint list or an address in it is malformed; the message says where and how. */
+/** Thrown if an endpoint list or an address is malformed; the message names the invalid value. */
 public final class InvalidEndpointListException extends IllegalArgumentException {
 
   private static final long serialVersionUID = 1;
--- a/src/main/java/loadbalancer/proxy/discovery/WatchTiming.java
+++ b/src/main/java/loadbalancer/proxy/discovery/WatchTiming.java
@@ -3,25 +3,25 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides how long each watch call waits at discovery for an update, and how long its response is
- * awaited. Not thread-safe.
+ * Decides for how long each watch call asks discovery to wait for an update, and how long this
+ * instance awaits the response. Used on the event loop thread only.
  */
 final class WatchTiming {
 
-  /** The shortest wait is the longest one divided by this. */
+  /** The longest wait divided by the shortest. */
   private static final int MIN_WAIT_DIVISOR = 2;
 
-  /** Time for the response to arrive after the wait is over. */
+  /** How long after the end of the wait the response may still arrive. */
   private static final int RESPONSE_GRACE_MILLIS = 1_000;
 
   private final int maxWaitMillis;
   private final boolean explicitWatch;
   private final SplittableRandom random;
 
-  /** Whether any watch was answered, so that the known list is confirmed by discovery. */
+  /** Whether discovery has answered a watch, which confirms or replaces the configured list. */
   private boolean listConfirmed;
 
-  /** Whether the last call failed, so that the list may be stale. */
+  /** Whether the last watch or fetch failed, so that the list may be outdated. */
   private boolean lastCallFailed;
 
   WatchTiming(int maxWaitMillis, boolean explicitWatch, long seed) {
@@ -30,12 +30,12 @@
     random = new SplittableRandom(seed);
   }
 
-  /** Records that discovery answered a watch, usable or not. */
+  /** Records that discovery has answered a watch, whether or not its response can be applied. */
   void watchAnswered() {
     listConfirmed = true;
   }
 
-  /** Records whether the last call, watch or fetch, brought an update that was applied. */
+  /** Records the outcome of a watch or a fetch. */
   void callEnded(boolean failed) {
     lastCallFailed = failed;
   }
@@ -45,9 +45,10 @@
   }
 
   /**
-   * How long the next watch waits at discovery, in milliseconds: a random time, so that instances
-   * that start together do not poll in step, or zero if the list may be stale. That is the case
-   * after a failure, and before the first response where updates count as notified without a watch.
+   * For how long the next watch asks discovery to wait for an update, in milliseconds. The time is
+   * random, so that instances that start together don't call discovery at the same times. It is
+   * zero if the list may be outdated: after a failure, and before the first response if this
+   * instance counts as notified of updates even while it doesn't watch.
    */
   int nextWaitMillis() {
     if (lastCallFailed || !(listConfirmed || explicitWatch)) {
@@ -57,15 +58,15 @@
   }
 
   /**
-   * How long the response to a watch is awaited, in milliseconds. After a failure it is the full
-   * time even though the watch does not wait: a discovery under load answers late, and polling
-   * again early would add to its load.
+   * How long the response to a watch is awaited, in milliseconds. After a failure this is the
+   * longest timeout even though discovery does not wait for an update: if it is overloaded, it
+   * answers late, and an early repetition of the call would add to its load.
    */
   int watchTimeoutMillis(int waitMillis) {
     return (lastCallFailed ? maxWaitMillis : waitMillis) + RESPONSE_GRACE_MILLIS;
   }
 
-  /** How long the response to a call for the full list is awaited, in milliseconds. */
+  /** How long the response to a request for the full list is awaited, in milliseconds. */
   int fetchTimeoutMillis() {
     return maxWaitMillis + RESPONSE_GRACE_MILLIS;
   }
--- a/src/main/java/loadbalancer/proxy/discovery/package-info.java
+++ b/src/main/java/loadbalancer/proxy/discovery/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Watches and polls the endpoint list of service discovery.
+ * The client of service discovery, which watches and fetches the endpoint list.
  *
- * <p>{@link loadbalancer.proxy.discovery.DiscoveryClient} is called by the proxy and reports to its
- * listener. Everything here runs on the proxy's event loop, and nothing is thread-safe; only the
- * parser and the records may be used on any thread. When to watch again after a failure is a
- * decision of the policy, not of this package.
+ * <p>{@link loadbalancer.proxy.discovery.DiscoveryClient} is the entry point; it passes updates and
+ * failures to its listener. Classes are used on the event loop thread only and are not thread-safe,
+ * except for the parser and the records, which are immutable. When to watch again after a failure
+ * is the policy's decision, not that of this package.
  */
 package loadbalancer.proxy.discovery;
--- a/src/main/java/loadbalancer/proxy/json/JsonReader.java
+++ b/src/main/java/loadbalancer/proxy/json/JsonReader.java
@@ -12,8 +12,9 @@
 import java.io.InputStream;
 
 /**
- * Reads JSON into Jackson's tree. It replaces Jackson's object mapper, whose hundreds of classes
- * for data binding slow down the start. Stateless, for any thread.
+ * Reads JSON into Jackson's tree model. Used in place of Jackson's object mapper, which loads
+ * hundreds of classes for data binding and so slows down the start of the process. Stateless; may
+ * be used on any thread.
  */
 public final class JsonReader {
 
@@ -23,17 +24,20 @@
   private JsonReader() {}
 
   /**
-   * Reads one value and no further; a missing node if there is none.
+   * Reads the first value of a stream; what follows it is ignored. Returns a missing node if the
+   * stream holds no value.
    *
    * @throws IOException if the stream cannot be read or holds malformed JSON
    */
-  public static JsonNode read(InputStream text) throws IOException {
-    try (JsonParser parser = FACTORY.createParser(text)) {
+  public static JsonNode read(InputStream json) throws IOException {
+    try (JsonParser parser = FACTORY.createParser(json)) {
       return parser.nextToken() == null ? NODES.missingNode() : readValue(parser);
     }
   }
 
-  /** Reads the value at the parser's current token; the parser limits the depth of nesting. */
+  /**
+   * Reads the value at the parser's current token. The parser limits the depth of the recursion.
+   */
   private static JsonNode readValue(JsonParser parser) throws IOException {
     return switch (parser.currentToken()) {
       case START_OBJECT -> readObject(parser);
@@ -49,7 +53,9 @@
       case VALUE_TRUE -> NODES.booleanNode(true);
       case VALUE_FALSE -> NODES.booleanNode(false);
       case VALUE_NULL -> NODES.nullNode();
-      default -> throw new JsonParseException(parser, "unexpected " + parser.currentToken());
+      default ->
+          throw new JsonParseException(
+              parser, "expected a JSON value but found " + parser.currentToken());
     };
   }
 
--- a/src/main/java/loadbalancer/proxy/json/package-info.java
+++ b/src/main/java/loadbalancer/proxy/json/package-info.java
@@ -1,2 +1,2 @@
-/** Reads JSON into Jackson's tree without its object mapper. Stateless, for any thread. */
+/** Reads JSON into Jackson's tree model without its object mapper. Stateless. */
 package loadbalancer.proxy.json;
--- a/src/main/java/loadbalancer/proxy/protocol/package-info.java
+++ b/src/main/java/loadbalancer/proxy/protocol/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The names of the platform's header fields and the formats of their values: constants and pure
- * functions. Called by the frontend, upstream and proxy packages on any thread.
+ * The names of the platform's HTTP header fields and the formats of their values. Holds only
+ * constants and pure functions, which may be used on any thread.
  */
 package loadbalancer.proxy.protocol;
