--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -157,8 +157,8 @@
   protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
     messageCompleted();
     if (attempt != null && !channel.isActive()) {
-      // The end of the connection completed this response, which has no other framing. It cannot
-      // be told from one that a crash of the endpoint truncated.
+      // Only the end of the connection completed this response, so a crash of the endpoint may have
+      // truncated it.
       attempt.connectionLost();
     } else if (!isValid(response)) {
       protocolViolation();
--- a/src/test/java/loadbalancer/proxy/upstream/ConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/ConnectionPoolTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When idle connections are reused, closed and evicted. */
+/** Tests when idle upstream connections are reused, closed and evicted. */
 @Timeout(60)
 class ConnectionPoolTest {
 
@@ -43,17 +43,17 @@
       proxy.settleMillis = 1e9;
       proxy.start();
       HttpPeer client = proxy.connectClient();
-      HttpPeer[] both = new HttpPeer[2];
+      HttpPeer[] upstreamConnections = new HttpPeer[2];
       for (int i = 0; i < 2; i++) {
         client.write(ProxyFixture.idempotentRequest("r" + i, "10"));
-        both[i] = proxy.upstreams.get(0).accept();
-        both[i].read();
-        both[i].write(ProxyFixture.okResponse("a" + i));
+        upstreamConnections[i] = proxy.upstreams.get(0).accept();
+        upstreamConnections[i].read();
+        upstreamConnections[i].write(ProxyFixture.okResponse("a" + i));
         assertEquals("a" + i, client.read().body());
       }
       useOptions(proxy, options -> options.withReuseDelayMillis(0));
       client.write(ProxyFixture.idempotentRequest("r2", "10"));
-      assertEquals("r2", both[1].read().header("X-Txn"));
+      assertEquals("r2", upstreamConnections[1].read().header("X-Txn"));
       assertEquals(0, proxy.upstreams.get(0).pendingConnections());
     }
   }
@@ -86,25 +86,25 @@
           });
       HttpPeer client = proxy.connectClient();
       client.write(ProxyFixture.atMostOnceRequest("s1", "x"));
-      HttpPeer first = proxy.upstreams.get(0).accept();
-      first.read();
-      first.write(ProxyFixture.okResponse("a"));
+      HttpPeer oldConnection = proxy.upstreams.get(0).accept();
+      oldConnection.read();
+      oldConnection.write(ProxyFixture.okResponse("a"));
       assertEquals("a", client.read().body());
       client.write(ProxyFixture.atMostOnceRequest("s2", "x"));
-      HttpPeer second = proxy.upstreams.get(0).accept();
-      assertEquals("s2", second.read().header("X-Txn"));
-      // The new connection replaces the old one: guards against a growing pool.
-      assertTrue(first.isClosedByPeer());
-      second.write(ProxyFixture.okResponse("b"));
+      HttpPeer newConnection = proxy.upstreams.get(0).accept();
+      assertEquals("s2", newConnection.read().header("X-Txn"));
+      // The new connection replaces the old one; otherwise idle connections would accumulate.
+      assertTrue(oldConnection.isClosedByPeer());
+      newConnection.write(ProxyFixture.okResponse("b"));
       assertEquals("b", client.read().body());
       client.write(ProxyFixture.idempotentRequest("g1", "10"));
-      assertEquals("g1", second.read().header("X-Txn"));
-      second.write(ProxyFixture.okResponse("c"));
+      assertEquals("g1", newConnection.read().header("X-Txn"));
+      newConnection.write(ProxyFixture.okResponse("c"));
       assertEquals("c", client.read().body());
     }
   }
 
-  /** Makes every idle time too long for a connection to be fresh. */
+  /** Sets the fresh idle time to 0, so that no idle connection counts as fresh. */
   private static void treatNoConnectionAsFresh(ProxyFixture proxy) throws InterruptedException {
     useOptions(proxy, options -> options.withFreshIdleMillis(0));
   }
@@ -144,19 +144,19 @@
               proxy, ProxyFixture.endpointEntry(9, proxy.upstreams.get(1).address(), "up"));
       HttpPeer client = proxy.connectClient();
       client.write(ProxyFixture.idempotentRequest("1", "10"));
-      HttpPeer old = proxy.upstreams.get(1).accept();
-      old.read();
+      HttpPeer oldConnection = proxy.upstreams.get(1).accept();
+      oldConnection.read();
       sendEndpointChange(
           proxy, watch, 43, ProxyFixture.endpointEntry(9, proxy.upstreams.get(0).address(), "up"));
-      old.write(ProxyFixture.okResponse("before"));
+      oldConnection.write(ProxyFixture.okResponse("before"));
       assertEquals("before", client.read().body());
-      assertTrue(old.isClosedByPeer());
+      assertTrue(oldConnection.isClosedByPeer());
       proxy.assertStillServes();
     }
   }
 
   @Test
-  void forgetsAnEndpointThatDrainedAndWasRemoved() throws Exception {
+  void discardsAnEndpointThatDrainedAndWasRemoved() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture()) {
       proxy.policy.onStart = () -> proxy.policy.actions.watchEndpoints(true);
       proxy.start();
@@ -177,8 +177,9 @@
   }
 
   @Test
-  void shortageOfDescriptorsIsNotSent() throws Exception {
+  void attemptWithoutADescriptorIsNotSent() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture()) {
+      // 64 descriptors are reserved; of the other 5, one is reserved for clients.
       proxy.maxDescriptors = 64 + 5;
       proxy.start();
       proxy.policy.onRequest = request -> {};
@@ -197,6 +198,7 @@
   @Test
   void evictsIdleClientConnectionsForAnAttempt() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture()) {
+      // 64 descriptors are reserved; of the other 5, one is reserved for clients.
       proxy.maxDescriptors = 64 + 5;
       proxy.start();
       List<HttpPeer> idleClients = new ArrayList<>();
@@ -213,28 +215,29 @@
   @Test
   void evictsIdleUpstreamConnectionsForClients() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture(6)) {
+      // 64 descriptors are reserved; of the other 10, two are reserved for clients.
       proxy.maxDescriptors = 64 + 10;
       proxy.start();
       HttpPeer client = proxy.connectClient();
-      List<HttpPeer> idle = new ArrayList<>();
+      List<HttpPeer> idleUpstreams = new ArrayList<>();
       for (int i = 0; i < 6; i++) {
-        int to = i;
-        proxy.policy.onRequest = request -> proxy.policy.sendTo(to, request, 0);
+        int upstreamIndex = i;
+        proxy.policy.onRequest = request -> proxy.policy.sendTo(upstreamIndex, request, 0);
         client.write(ProxyFixture.idempotentRequest("r" + i, "10"));
-        idle.add(proxy.upstreams.get(i).accept());
-        idle.get(i).read();
-        idle.get(i).write(ProxyFixture.okResponse("a"));
+        idleUpstreams.add(proxy.upstreams.get(i).accept());
+        idleUpstreams.get(i).read();
+        idleUpstreams.get(i).write(ProxyFixture.okResponse("a"));
         client.read();
       }
       for (int i = 0; i < 6; i++) {
-        HttpPeer more = proxy.connectClient();
-        more.write("GET /_health HTTP/1.1\r\n\r\n");
-        assertEquals(200, more.read().status());
+        HttpPeer newClient = proxy.connectClient();
+        newClient.write("GET /_health HTTP/1.1\r\n\r\n");
+        assertEquals(200, newClient.read().status());
       }
       assertTrue(
-          idle.get(0).isClosedByPeer()
-              && idle.get(1).isClosedByPeer()
-              && idle.get(2).isClosedByPeer());
+          idleUpstreams.get(0).isClosedByPeer()
+              && idleUpstreams.get(1).isClosedByPeer()
+              && idleUpstreams.get(2).isClosedByPeer());
     }
   }
 }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamClientTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamClientTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How requests are forwarded, and which outcome each end of an attempt has. */
+/** Tests how requests are forwarded, and which outcome an attempt has. */
 @Timeout(60)
 class UpstreamClientTest {
 
@@ -37,7 +37,7 @@
       assertEquals("5c0f", request.header("Idempotency-Key"));
       assertEquals("body", request.body());
       double remaining = Double.parseDouble(request.header("X-Remaining"));
-      assertTrue(remaining > 0 && remaining <= 5, "remaining " + remaining);
+      assertTrue(remaining > 0 && remaining <= 5, "remaining time in seconds: " + remaining);
       upstream.write(ProxyFixture.okResponse("served"));
       HttpPeer.Message response = client.read();
       assertEquals(200, response.status());
@@ -56,11 +56,11 @@
                   .replace(
                       "Host:",
                       "Authorization: secret\r\n" + "X-Turned-Away: 1\r\nX-Labels: a=1\r\nHost:"));
-      HttpPeer.Message passed = proxy.upstreams.get(0).accept().read();
-      assertEquals("a=1", passed.header("X-Labels"));
+      HttpPeer.Message forwarded = proxy.upstreams.get(0).accept().read();
+      assertEquals("a=1", forwarded.header("X-Labels"));
       assertEquals(
           java.util.Set.of("host", "x-txn", "x-lane", "x-labels", "x-remaining"),
-          passed.headers().keySet());
+          forwarded.headers().keySet());
     }
   }
 
@@ -104,7 +104,8 @@
   @Test
   void resetBeforeTheRequestIsWrittenIsConnectFailed() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture()) {
-      // A large body that nobody reads fills the buffers, so it can't be written completely.
+      // The endpoint reads nothing and the buffers are small, so not all of the large body can be
+      // written.
       proxy.upstreams.set(0, new ScriptedListener(1_024));
       proxy.start();
       useOptions(proxy, options -> options.withSendBufferBytes(4_096));
@@ -135,7 +136,8 @@
   @Test
   void cancelClosesTheConnection() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture(2).start()) {
-      // A hedged request: the first response wins, the other attempt is cancelled.
+      // A hedged request: the policy cancels the slower attempt once the faster one has its
+      // response.
       proxy.policy.onRequest =
           request -> {
             proxy.policy.sendTo(0, request, 0);
@@ -143,15 +145,15 @@
           };
       HttpPeer client = proxy.connectClient();
       client.write(ProxyFixture.idempotentRequest("1", "10"));
-      HttpPeer slow = proxy.upstreams.get(0).accept();
-      slow.read();
-      HttpPeer fast = proxy.upstreams.get(1).accept();
-      fast.read();
+      HttpPeer slowUpstream = proxy.upstreams.get(0).accept();
+      slowUpstream.read();
+      HttpPeer fastUpstream = proxy.upstreams.get(1).accept();
+      fastUpstream.read();
       proxy.policy.onResult = outcome -> proxy.policy.actions.cancelAttempt(outcome.requestId(), 0);
-      fast.write(ProxyFixture.okResponse("fast"));
+      fastUpstream.write(ProxyFixture.okResponse("fast"));
       assertEquals("fast", client.read().body());
       assertEquals(AttemptOutcome.OK, proxy.policy.nextOutcome());
-      assertTrue(slow.isClosedByPeer());
+      assertTrue(slowUpstream.isClosedByPeer());
       assertEquals(AttemptOutcome.CANCELLED, proxy.policy.nextOutcome());
     }
   }
@@ -164,7 +166,7 @@
       client.write(ProxyFixture.atMostOnceRequest("1", "x"));
       HttpPeer upstream = proxy.upstreams.get(0).accept();
       upstream.read();
-      double sent = proxy.server.now();
+      double requestReadAtMillis = proxy.server.now();
       proxy.server.onLoop(
           (frontend, upstreams) -> {
             try {
@@ -172,16 +174,17 @@
             } catch (IOException e) {
               throw new java.io.UncheckedIOException(e);
             }
-            // Response and timeout are both due when the event loop continues.
-            while (proxy.server.now() < sent + 500) {
+            // The event loop is blocked until the timeout, so that the response and the timeout are
+            // both due when it continues.
+            while (proxy.server.now() < requestReadAtMillis + 500) {
               Thread.onSpinWait();
             }
             return null;
           });
-      AttemptOutcome result = proxy.policy.nextOutcome();
+      AttemptOutcome outcome = proxy.policy.nextOutcome();
       assertTrue(
-          result == AttemptOutcome.OK || result == AttemptOutcome.TIMEOUT, "ended as " + result);
-      assertEquals(result == AttemptOutcome.OK ? 200 : 502, client.read().status());
+          outcome == AttemptOutcome.OK || outcome == AttemptOutcome.TIMEOUT, "outcome " + outcome);
+      assertEquals(outcome == AttemptOutcome.OK ? 200 : 502, client.read().status());
       awaitInputRead(proxy);
       assertTrue(proxy.policy.results.isEmpty());
     }
@@ -197,7 +200,7 @@
       proxy.server.onLoop(
           (frontend, upstreams) -> {
             try {
-              upstream.write(ProxyFixture.okResponse("crosses"));
+              upstream.write(ProxyFixture.okResponse("unread"));
             } catch (IOException e) {
               throw new java.io.UncheckedIOException(e);
             }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Attempts that wait for a new connection. */
+/** Tests attempts that wait for a new connection. */
 @Timeout(60)
 class UpstreamConnectTest {
 
@@ -37,11 +37,11 @@
   @Test
   void connectTimeoutIsConnectFailed() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture();
-        FullBacklogListener full = new FullBacklogListener()) {
+        FullBacklogListener fullListener = new FullBacklogListener()) {
       proxy.connectTimeoutMillis = 200;
       proxy.policy.onStart = () -> proxy.policy.actions.watchEndpoints(true);
       proxy.start();
-      announceEndpoint(proxy, ProxyFixture.endpointEntry(9, full.address(), "up"));
+      announceEndpoint(proxy, ProxyFixture.endpointEntry(9, fullListener.address(), "up"));
       HttpPeer client = proxy.connectClient();
       client.write(ProxyFixture.atMostOnceRequest("1", "x"));
       assertEquals(AttemptOutcome.CONNECT_FAILED, proxy.policy.nextOutcome());
@@ -52,48 +52,49 @@
   @Test
   void lateConnectIsRetriedOnce() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture();
-        FullBacklogListener full = new FullBacklogListener()) {
+        FullBacklogListener fullListener = new FullBacklogListener()) {
       proxy.connectTimeoutMillis = 15_000;
       proxy.policy.onStart = () -> proxy.policy.actions.watchEndpoints(true);
       proxy.start();
-      // As after many fast connects: the first connect is retried after 10 ms.
+      // With this low median, as after many fast connects, the connect is retried after 10 ms.
       useOptions(
           proxy, options -> options.withInitialMedianConnectMillis(0.1).withReuseDelayMillis(0));
-      announceEndpoint(proxy, ProxyFixture.endpointEntry(9, full.address(), "up"));
+      announceEndpoint(proxy, ProxyFixture.endpointEntry(9, fullListener.address(), "up"));
       HttpPeer client = proxy.connectClient();
       client.write(ProxyFixture.idempotentRequest("1", "9"));
       // Both connects are pending until the backlog has room.
       while (proxy.server.onLoop((frontend, upstreams) -> upstreams.pendingConnects()) < 2) {
         Thread.onSpinWait();
       }
-      List<HttpPeer> accepted = new CopyOnWriteArrayList<>();
-      Thread accepting = new Thread(() -> acceptAll(full, accepted));
-      accepting.start();
-      // The connection that is established first carries the request, the other one nothing.
-      HttpPeer carrier = null;
-      while (carrier == null) {
-        for (HttpPeer peer : accepted) {
-          carrier = peer.unreadBytes() > 0 ? peer : carrier;
+      List<HttpPeer> acceptedConnections = new CopyOnWriteArrayList<>();
+      Thread acceptThread = new Thread(() -> acceptAll(fullListener, acceptedConnections));
+      acceptThread.start();
+      // One connection carries the request. No request is written to the other one.
+      HttpPeer usedConnection = null;
+      while (usedConnection == null) {
+        for (HttpPeer connection : acceptedConnections) {
+          usedConnection = connection.unreadBytes() > 0 ? connection : usedConnection;
         }
       }
-      carrier.read();
-      carrier.write(ProxyFixture.okResponse("served"));
+      usedConnection.read();
+      usedConnection.write(ProxyFixture.okResponse("served"));
       assertEquals(200, client.read().status());
       assertEquals(AttemptOutcome.OK, proxy.policy.nextOutcome());
       while (proxy.server.onLoop((frontend, upstreams) -> upstreams.pendingConnects()) > 0) {
         Thread.onSpinWait();
       }
-      for (HttpPeer peer : accepted) {
-        assertEquals(0, peer.unreadBytes());
-        peer.close();
+      for (HttpPeer connection : acceptedConnections) {
+        assertEquals(0, connection.unreadBytes());
+        connection.close();
       }
     }
   }
 
-  private static void acceptAll(FullBacklogListener full, List<HttpPeer> accepted) {
+  private static void acceptAll(
+      FullBacklogListener fullListener, List<HttpPeer> acceptedConnections) {
     try {
       while (true) {
-        accepted.add(full.acceptAfterBacklog());
+        acceptedConnections.add(fullListener.acceptAfterBacklog());
       }
     } catch (Exception e) {
       // The listening socket was closed.
@@ -102,23 +103,26 @@
 
   @ParameterizedTest
   @ValueSource(ints = {50, 1_800})
-  void doesNotWriteToADrainingEndpointAfterTheWriteGrace(int grace) throws Exception {
+  void doesNotWriteToADrainingEndpointAfterTheWriteGrace(int drainGraceMillis) throws Exception {
     try (ProxyFixture proxy = new ProxyFixture();
-        FullBacklogListener full = new FullBacklogListener()) {
+        FullBacklogListener fullListener = new FullBacklogListener()) {
       proxy.connectTimeoutMillis = 15_000;
-      // Half of the grace is left for the notification's delay.
-      proxy.drainGraceMillis = grace;
+      // Requests are written to a draining endpoint only in the first half of its grace.
+      proxy.drainGraceMillis = drainGraceMillis;
       proxy.policy.onStart = () -> proxy.policy.actions.watchEndpoints(true);
       proxy.start();
-      HttpPeer watch = announceEndpoint(proxy, ProxyFixture.endpointEntry(9, full.address(), "up"));
+      HttpPeer watch =
+          announceEndpoint(proxy, ProxyFixture.endpointEntry(9, fullListener.address(), "up"));
       HttpPeer client = proxy.connectClient();
       client.write(ProxyFixture.atMostOnceRequest("1", "x"));
       awaitInputRead(proxy);
       sendEndpointChange(
-          proxy, watch, 43, ProxyFixture.endpointEntry(9, full.address(), "draining"));
-      // The kernel retries the handshake only after a second, when the write grace has passed.
-      try (HttpPeer late = full.acceptAfterBacklog()) {
-        assertTrue(late.isClosedByPeer(), "the request was written after the grace");
+          proxy, watch, 43, ProxyFixture.endpointEntry(9, fullListener.address(), "draining"));
+      // The kernel repeats the handshake only after a second, when that half has passed.
+      try (HttpPeer lateConnection = fullListener.acceptAfterBacklog()) {
+        assertTrue(
+            lateConnection.isClosedByPeer(),
+            "the request was written after the write grace, or the connection was left open");
       }
       assertEquals(AttemptOutcome.CONNECT_FAILED, proxy.policy.nextOutcome());
       assertEquals(502, client.read().status());
@@ -129,11 +133,11 @@
   @ValueSource(booleans = {false, true})
   void doesNotWriteOnceTheClientHasDisconnected(boolean reset) throws Exception {
     try (ProxyFixture proxy = new ProxyFixture();
-        FullBacklogListener full = new FullBacklogListener()) {
+        FullBacklogListener fullListener = new FullBacklogListener()) {
       proxy.connectTimeoutMillis = 15_000;
       proxy.policy.onStart = () -> proxy.policy.actions.watchEndpoints(true);
       proxy.start();
-      announceEndpoint(proxy, ProxyFixture.endpointEntry(9, full.address(), "up"));
+      announceEndpoint(proxy, ProxyFixture.endpointEntry(9, fullListener.address(), "up"));
       HttpPeer client = proxy.connectClient();
       client.write(ProxyFixture.atMostOnceRequest("1", "x"));
       awaitInputRead(proxy);
@@ -142,7 +146,7 @@
       } else {
         client.close();
       }
-      // The policy cancels nothing; the connect is still pending.
+      // The connect is still pending. The proxy ends the attempt without an action of the policy.
       assertEquals(AttemptOutcome.NOT_SENT, proxy.policy.nextOutcome());
       assertEquals(1, ScriptedPolicy.takeNext(proxy.policy.disconnected));
     }
@@ -151,28 +155,31 @@
   @Test
   void doesNotWriteWhileTheClientsDisconnectIsUnread() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture();
-        FullBacklogListener full = new FullBacklogListener()) {
+        FullBacklogListener fullListener = new FullBacklogListener()) {
       proxy.connectTimeoutMillis = 15_000;
       proxy.policy.onStart = () -> proxy.policy.actions.watchEndpoints(true);
       proxy.start();
-      announceEndpoint(proxy, ProxyFixture.endpointEntry(9, full.address(), "up"));
+      announceEndpoint(proxy, ProxyFixture.endpointEntry(9, fullListener.address(), "up"));
       HttpPeer client = proxy.connectClient();
       client.write(ProxyFixture.atMostOnceRequest("1", "x"));
       awaitInputRead(proxy);
-      HttpPeer late =
+      HttpPeer lateConnection =
           proxy.server.onLoop(
               (frontend, upstreams) -> {
                 try {
-                  // The event loop sees both only afterwards, the connection first.
-                  HttpPeer up = full.acceptAfterBacklog();
+                  // Both happen while the event loop is blocked here. It continues with the new
+                  // connection and reads the client's disconnect after that.
+                  HttpPeer accepted = fullListener.acceptAfterBacklog();
                   client.close();
-                  return up;
+                  return accepted;
                 } catch (Exception e) {
                   throw new IllegalStateException(e);
                 }
               });
-      try (late) {
-        assertTrue(late.isClosedByPeer(), "the request was written for nobody");
+      try (lateConnection) {
+        assertTrue(
+            lateConnection.isClosedByPeer(),
+            "the request was written after the disconnect, or the connection was left open");
       }
       assertEquals(AttemptOutcome.NOT_SENT, proxy.policy.nextOutcome());
       assertEquals(1, ScriptedPolicy.takeNext(proxy.policy.disconnected));
@@ -182,20 +189,23 @@
   @Test
   void doesNotWriteToAFormerAddressOfTheEndpoint() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture();
-        FullBacklogListener full = new FullBacklogListener()) {
+        FullBacklogListener fullListener = new FullBacklogListener()) {
       proxy.connectTimeoutMillis = 15_000;
       proxy.policy.onStart = () -> proxy.policy.actions.watchEndpoints(true);
       proxy.start();
-      HttpPeer watch = announceEndpoint(proxy, ProxyFixture.endpointEntry(9, full.address(), "up"));
+      HttpPeer watch =
+          announceEndpoint(proxy, ProxyFixture.endpointEntry(9, fullListener.address(), "up"));
       proxy.connectClient().write(ProxyFixture.atMostOnceRequest("1", "x"));
       awaitInputRead(proxy);
-      // The endpoint drains and returns under its id at another address.
+      // The endpoint drains, and then the same ID is listed as ready at another address.
       sendEndpointChange(
-          proxy, watch, 43, ProxyFixture.endpointEntry(9, full.address(), "draining"));
+          proxy, watch, 43, ProxyFixture.endpointEntry(9, fullListener.address(), "draining"));
       sendEndpointChange(
           proxy, watch, 44, ProxyFixture.endpointEntry(9, proxy.upstreams.get(0).address(), "up"));
-      try (HttpPeer late = full.acceptAfterBacklog()) {
-        assertTrue(late.isClosedByPeer(), "the request was written to the old address");
+      try (HttpPeer lateConnection = fullListener.acceptAfterBacklog()) {
+        assertTrue(
+            lateConnection.isClosedByPeer(),
+            "the request was written to the old address, or the connection was left open");
       }
       assertEquals(AttemptOutcome.CONNECT_FAILED, proxy.policy.nextOutcome());
       proxy.assertStillServes();
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamResponseTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamResponseTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How invalid, incomplete and duplicate responses are recognized. */
+/** Tests that invalid, incomplete and duplicate responses are detected. */
 @Timeout(60)
 class UpstreamResponseTest {
 
@@ -28,17 +28,17 @@
         "HTTP/1.1 200 OK\r\nContent-Le",
         "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
-        // Delimited by the end of the connection only, as after a crash.
+        // Without a length: only the end of the connection ends the body, as after a crash.
         "HTTP/1.1 200 OK\r\n\r\nhalf"
       })
-  void endOfTheConnectionInAResponseIsReset(String part) throws Exception {
+  void endOfTheConnectionInAResponseIsReset(String incompleteResponse) throws Exception {
     for (boolean abruptly : new boolean[] {false, true}) {
       try (ProxyFixture proxy = new ProxyFixture().start()) {
         HttpPeer client = proxy.connectClient();
         client.write(ProxyFixture.atMostOnceRequest("1", "x"));
         HttpPeer upstream = proxy.upstreams.get(0).accept();
         upstream.read();
-        upstream.write(part);
+        upstream.write(incompleteResponse);
         if (abruptly) {
           upstream.reset();
         } else {
@@ -62,7 +62,8 @@
       useOptions(proxy, options -> options.withSendBufferBytes(4_096));
       HttpPeer client = proxy.connectClient();
       client.write(ProxyFixture.atMostOnceRequest("1", "b".repeat(ProtocolHeaders.MAX_BODY_BYTES)));
-      // The endpoint reads nothing, so the request can't be written completely.
+      // The endpoint reads nothing and the buffers are small, so not all of the request can be
+      // written.
       HttpPeer upstream = proxy.upstreams.get(0).accept();
       upstream.write(
           "HTTP/1.1 "
@@ -108,7 +109,7 @@
         "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nab",
         "HTTP/1.1 200 OK\r\nContent-Length : 2\r\n\r\nab",
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore and more",
-        // Stalled: the rest never comes.
+        // Stalled: the rest is never sent.
         "HTTP/1.1 200 OK\r\nContent-Le",
         "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
         "HTTP/1.1 200 OK\r\n\r\nhalf"
@@ -119,7 +120,7 @@
       client.write(ProxyFixture.atMostOnceRequest("1", "x"));
       HttpPeer upstream = proxy.upstreams.get(0).accept();
       upstream.read();
-      // The endpoint leaves the connection open: guards against waiting for its end.
+      // The endpoint leaves the connection open, so the proxy must not wait for its end.
       upstream.write(response);
       assertEquals(AttemptOutcome.ERROR, proxy.policy.nextOutcome());
       assertEquals(502, client.read().status());
@@ -132,7 +133,7 @@
   void endlessHeadersAndInterimResponsesAreErrors() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture().start()) {
       HttpPeer client = proxy.connectClient();
-      for (String endless :
+      for (String repeatedPart :
           new String[] {"HTTP/1.1 100 Continue\r\n\r\n", "X-More: of the same\r\n"}) {
         client.write(ProxyFixture.idempotentRequest("1", "20"));
         HttpPeer upstream = proxy.upstreams.get(0).accept();
@@ -140,10 +141,10 @@
         try {
           upstream.write(
               "HTTP/1.1 100 Continue\r\n"
-                  + (endless.startsWith("X") ? "" : "\r\n")
-                  + endless.repeat(1_000));
+                  + (repeatedPart.startsWith("X") ? "" : "\r\n")
+                  + repeatedPart.repeat(1_000));
         } catch (IOException e) {
-          // The connection may be closed while the endpoint still writes.
+          // The proxy may close the connection while the endpoint still writes.
         }
         assertEquals(AttemptOutcome.ERROR, proxy.policy.nextOutcome());
         assertEquals(502, client.read().status());
@@ -174,17 +175,17 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy",
         "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nco"
       })
-  void bytesAfterAResponseAreNotTheNextResponse(String more) throws Exception {
-    for (boolean later : new boolean[] {false, true}) {
+  void bytesAfterAResponseAreNotTheNextResponse(String extraBytes) throws Exception {
+    for (boolean sentSeparately : new boolean[] {false, true}) {
       try (ProxyFixture proxy = new ProxyFixture().start()) {
         HttpPeer client = proxy.connectClient();
         client.write(ProxyFixture.idempotentRequest("1", "10"));
         HttpPeer upstream = proxy.upstreams.get(0).accept();
         upstream.read();
-        upstream.write(ProxyFixture.okResponse("mine") + (later ? "" : more));
+        upstream.write(ProxyFixture.okResponse("mine") + (sentSeparately ? "" : extraBytes));
         assertEquals("mine", client.read().body());
-        if (later) {
-          upstream.write(more);
+        if (sentSeparately) {
+          upstream.write(extraBytes);
         }
         client.write(ProxyFixture.idempotentRequest("2", "10"));
         HttpPeer replacement = proxy.upstreams.get(0).accept();
@@ -203,17 +204,17 @@
       proxy.start();
       HttpPeer client = proxy.connectClient();
       client.write(ProxyFixture.idempotentRequest("1", "10"));
-      HttpPeer first = proxy.upstreams.get(0).accept();
-      first.read();
-      first.write(ProxyFixture.okResponse("one"));
+      HttpPeer firstConnection = proxy.upstreams.get(0).accept();
+      firstConnection.read();
+      firstConnection.write(ProxyFixture.okResponse("one"));
       assertEquals("one", client.read().body());
       client.write(ProxyFixture.idempotentRequest("2", "10"));
-      // The reuse delay of the first connection has not passed.
-      HttpPeer second = proxy.upstreams.get(0).accept();
-      assertEquals("2", second.read().header("X-Txn"));
-      first.write(ProxyFixture.okResponse("one"));
-      assertTrue(first.isClosedByPeer());
-      second.write(ProxyFixture.okResponse("two"));
+      // The first connection is not reused since its reuse delay has not passed.
+      HttpPeer secondConnection = proxy.upstreams.get(0).accept();
+      assertEquals("2", secondConnection.read().header("X-Txn"));
+      firstConnection.write(ProxyFixture.okResponse("one"));
+      assertTrue(firstConnection.isClosedByPeer());
+      secondConnection.write(ProxyFixture.okResponse("two"));
       assertEquals("two", client.read().body());
     }
   }
@@ -222,11 +223,11 @@
   void responseBodyAboveTheLimitIsAnError() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture().start()) {
       HttpPeer client = proxy.connectClient();
-      for (int extra = 0; extra < 2; extra++) {
+      for (int excessBytes = 0; excessBytes < 2; excessBytes++) {
         client.write(ProxyFixture.idempotentRequest("1", "10"));
         HttpPeer upstream = proxy.upstreams.get(0).accept();
         upstream.read();
-        String body = "b".repeat(ProtocolHeaders.MAX_BODY_BYTES + extra);
+        String body = "b".repeat(ProtocolHeaders.MAX_BODY_BYTES + excessBytes);
         try {
           upstream.write(
               "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: "
@@ -234,11 +235,15 @@
                   + "\r\n\r\n"
                   + body);
         } catch (IOException e) {
-          assertEquals(1, extra, "only the response that is too large may be cut off");
+          assertEquals(
+              1,
+              excessBytes,
+              "the proxy closed the connection on a response of the largest allowed size");
         }
         assertEquals(
-            extra == 0 ? AttemptOutcome.OK : AttemptOutcome.ERROR, proxy.policy.nextOutcome());
-        assertEquals(extra == 0 ? 200 : 502, client.read().status());
+            excessBytes == 0 ? AttemptOutcome.OK : AttemptOutcome.ERROR,
+            proxy.policy.nextOutcome());
+        assertEquals(excessBytes == 0 ? 200 : 502, client.read().status());
       }
       proxy.assertStillServes();
     }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamTestSupport.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamTestSupport.java
@@ -8,19 +8,22 @@
 import loadbalancer.proxy.ProxyFixture;
 import loadbalancer.proxy.ScriptedPolicy;
 
-/** Steps that several tests of the upstream client share. */
+/** Helpers for the tests of this package. */
 final class UpstreamTestSupport {
 
   private UpstreamTestSupport() {}
 
-  /** Returns once the proxy, on its one thread, has read what was sent to it before. */
+  /**
+   * Returns once the proxy has read all that was sent to it before. The proxy has one event loop
+   * thread, so it responds to a later health check only after that.
+   */
   static void awaitInputRead(ProxyFixture proxy) throws Exception {
-    HttpPeer other = proxy.connectClient();
-    other.write("GET /_health HTTP/1.1\r\n\r\n");
-    other.read();
+    HttpPeer healthCheckClient = proxy.connectClient();
+    healthCheckClient.write("GET /_health HTTP/1.1\r\n\r\n");
+    healthCheckClient.read();
   }
 
-  /** Answers the first watch with a full list of one endpoint and returns the watch connection. */
+  /** Responds to the first watch with a full list of one endpoint; returns its connection. */
   static HttpPeer announceEndpoint(ProxyFixture proxy, String entry) throws Exception {
     ScriptedPolicy.takeNext(proxy.policy.updates);
     HttpPeer watch = proxy.discovery.accept();
@@ -30,7 +33,7 @@
     return watch;
   }
 
-  /** Answers the next poll of a watch with one changed endpoint; returns once that is applied. */
+  /** Responds to the next watch with one changed endpoint; returns once that is applied. */
   static void sendEndpointChange(ProxyFixture proxy, HttpPeer watch, long version, String entry)
       throws Exception {
     watch.read();
@@ -38,7 +41,7 @@
     assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(proxy.policy.updates));
   }
 
-  /** Changes the options of the proxy's upstream client. */
+  /** Replaces the options of the proxy's upstream client by a changed copy. */
   static void useOptions(ProxyFixture proxy, UnaryOperator<UpstreamClientOptions> change)
       throws InterruptedException {
     proxy.server.onLoop(
