--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -121,7 +121,7 @@
   /**
    * Starts, restarts or stops the watch. A watch call in progress is cancelled without being
    * reported as failed, and its connection is closed: while no update arrives, a dead connection
-   * cannot be told from a working one.
+   * cannot be distinguished from a working one.
    */
   public void watch(boolean enabled) {
     watching = enabled;
@@ -201,9 +201,8 @@
       // An incremental update can't be applied without the list that it changes.
       reportFailure();
     }
-    // After a failure the policy decides when to watch again: an immediate call would only bring
-    // the
-    // same unusable update.
+    // After a failure the policy decides when to watch again. An immediate call would only bring
+    // the same unusable update.
     if (watching && watchCall == null && !timing.lastCallFailed()) {
       startWatchCall();
     }
--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListParser.java
@@ -42,7 +42,8 @@
     }
     JsonNode version = list.path("version");
     if (!version.isIntegralNumber()) {
-      throw new InvalidEndpointListException("endpoint list: 'version' must be an integer");
+      throw new InvalidEndpointListException(
+          "endpoint list: 'version' must be an integer, but is '" + version.asText() + "'");
     }
     List<EndpointListUpdate.Entry> entries = new ArrayList<>(servers.size());
     for (JsonNode server : servers) {
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -38,15 +38,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The watch, the fetch of the full list, and their failures, against a scripted discovery. */
+/** Tests the watch, the fetch of the full list and their failures with a scripted discovery. */
 @Timeout(60)
 class DiscoveryClientTest {
 
-  private static final Pattern WATCH =
+  private static final Pattern WATCH_REQUEST_LINE =
       Pattern.compile("GET /catalog/members\\?index=(?<version>\\d+)&wait=(?<wait>\\d+) HTTP/1.1");
 
-  /** Longer than any call may take, and shorter than the timeout of a test. */
-  private static final long WATCH_LIMIT_MILLIS = 15_000;
+  /** Longer than any call may take, and shorter than the 20 s for which tests await an event. */
+  private static final long WATCH_LATE_MILLIS = 15_000;
 
   private final ProxyFixture fixture = new ProxyFixture();
 
@@ -54,22 +54,27 @@
     fixture.policy.onStart = () -> fixture.policy.actions.watchEndpoints(true);
   }
 
-  private void started() throws Exception {
+  private void startProxy() throws Exception {
     fixture.start();
     assertEquals(EndpointUpdateType.CACHED, ScriptedPolicy.takeNext(fixture.policy.updates));
   }
 
-  /** Reads a watch request for changes after a version, and returns its wait in milliseconds. */
-  private static int assertWatches(long version, HttpPeer watch) throws IOException {
-    Matcher call = WATCH.matcher(watch.read().startLine());
-    assertTrue(call.matches());
-    assertEquals(version, Long.parseLong(call.group("version")));
-    return Integer.parseInt(call.group("wait"));
+  /**
+   * Reads a request, asserts that it is a watch for updates after a version, and returns the wait
+   * that it asks for, in milliseconds.
+   */
+  private static int assertWatchRequest(long expectedVersion, HttpPeer connection)
+      throws IOException {
+    Matcher matcher = WATCH_REQUEST_LINE.matcher(connection.read().startLine());
+    assertTrue(matcher.matches());
+    assertEquals(expectedVersion, Long.parseLong(matcher.group("version")));
+    return Integer.parseInt(matcher.group("wait"));
   }
 
   /**
-   * A discovery client without a proxy. It records the types of its updates, {@code WATCH_LATE}
-   * when a watch has taken too long, and {@code FREE_DESCRIPTORS} when descriptors are to be freed.
+   * A discovery client without a proxy. It records the type of each update, {@code WATCH_LATE} some
+   * time after the start of a watch, and {@code FREE_DESCRIPTORS} when the client asks to free
+   * descriptors.
    */
   private static final class StandaloneClient implements AutoCloseable {
 
@@ -81,10 +86,15 @@
     private final LinkedBlockingQueue<String> events = new LinkedBlockingQueue<>();
     private final DiscoveryClient discovery;
 
-    /** Creates the sockets; changed on the loop only, once the client is in use. */
+    /** Creates the sockets. Once the client is in use, it is changed on the event loop only. */
     private ChannelFactory<Channel> channelFactory = NioSocketChannel::new;
 
-    /** Creates a client of the discovery at an address. */
+    /**
+     * Creates a client.
+     *
+     * @param address the address of discovery
+     * @param watchMillis the longest time for which a watch asks discovery to wait for an update
+     */
     StandaloneClient(ProxyFixture fixture, String address, int watchMillis) throws Exception {
       Path file = Files.createTempFile("node", ".json");
       try {
@@ -104,12 +114,15 @@
       }
     }
 
-    /** Begins a watch and records {@code WATCH_LATE} after a time; the loop keeps their order. */
-    void watch(long time) {
+    /**
+     * Starts a watch, and records {@code WATCH_LATE} after a time. The event loop records all
+     * events, so they are in the order in which they occurred.
+     */
+    void watch(long lateMillis) {
       loop.execute(
           () -> {
             discovery.watch(true);
-            loop.schedule(() -> events.add(WATCH_LATE), time, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> events.add(WATCH_LATE), lateMillis, TimeUnit.MILLISECONDS);
           });
     }
 
@@ -119,31 +132,31 @@
     }
   }
 
-  /** Watching the list in normal operation. */
+  /** The watch while discovery responds. */
   @Nested
   class Watch {
 
     @Test
     void watchContinuesFromTheLastVersion() throws Exception {
       try (fixture) {
-        started();
+        startProxy();
         HttpPeer watch = fixture.discovery.accept();
-        assertWatches(41, watch);
+        assertWatchRequest(41, watch);
         watch.write(
             ProxyFixture.okResponse(
                 ProxyFixture.endpointList(
                     45, false, ProxyFixture.endpointEntry(0, "127.0.0.1:1", "draining"))));
         assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(fixture.policy.updates));
-        assertWatches(45, watch);
+        assertWatchRequest(45, watch);
         watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(46, false)));
         assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(fixture.policy.updates));
-        assertWatches(46, watch);
+        assertWatchRequest(46, watch);
         watch.write(
             ProxyFixture.okResponse(
                 ProxyFixture.endpointList(
                     47, false, "{\"id\":\"s-00000000\",\"state\":\"removed\"}")));
         assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(fixture.policy.updates));
-        assertWatches(47, watch);
+        assertWatchRequest(47, watch);
       }
     }
 
@@ -153,7 +166,7 @@
         fixture.registryMode = "automatic";
         fixture.start(LatencyWeightedPolicy::new);
         HttpPeer watch = fixture.discovery.accept();
-        assertWatches(41, watch);
+        assertWatchRequest(41, watch);
         watch.write(
             ProxyFixture.okResponse(
                 ProxyFixture.endpointList(
@@ -161,10 +174,10 @@
                     false,
                     ProxyFixture.endpointEntry(
                         0, fixture.upstreams.get(0).address(), "draining"))));
-        // The next call shows that the update was applied. After a failure it is repeated.
-        assertWatches(42, watch);
+        // The next watch shows that the update was applied. A failed watch is repeated.
+        assertWatchRequest(42, watch);
         watch.reset();
-        assertWatches(42, fixture.discovery.accept());
+        assertWatchRequest(42, fixture.discovery.accept());
         HttpPeer client = fixture.connectClient();
         client.write(ProxyFixture.idempotentRequest("drained", "0.5"));
         assertEquals(503, client.read().status());
@@ -175,15 +188,15 @@
     @Test
     void watchContinuesOnANewConnectionAfterConnectionClose() throws Exception {
       try (fixture) {
-        started();
+        startProxy();
         HttpPeer watch = fixture.discovery.accept();
-        assertWatches(41, watch);
+        assertWatchRequest(41, watch);
         watch.write(
             ProxyFixture.okResponse(ProxyFixture.endpointList(42, false))
                 .replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
         assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(fixture.policy.updates));
         assertTrue(watch.isClosedByPeer());
-        assertWatches(42, fixture.discovery.accept());
+        assertWatchRequest(42, fixture.discovery.accept());
         assertTrue(fixture.policy.updates.isEmpty());
       }
     }
@@ -191,9 +204,9 @@
     @Test
     void fullListWithALowerVersionIsApplied() throws Exception {
       try (fixture) {
-        started();
+        startProxy();
         HttpPeer watch = fixture.discovery.accept();
-        assertWatches(41, watch);
+        assertWatchRequest(41, watch);
         watch.write(
             ProxyFixture.okResponse(
                 ProxyFixture.endpointList(
@@ -201,83 +214,83 @@
                     true,
                     ProxyFixture.endpointEntry(0, fixture.upstreams.get(0).address(), "up"))));
         assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(fixture.policy.updates));
-        assertWatches(7, watch);
+        assertWatchRequest(7, watch);
       }
     }
 
     @Test
     void indentedListIsAccepted() throws Exception {
       try (fixture) {
-        started();
+        startProxy();
         HttpPeer watch = fixture.discovery.accept();
         watch.read();
-        String plain =
+        String unindentedList =
             ProxyFixture.endpointList(
                 45, true, ProxyFixture.endpointEntry(0, fixture.upstreams.get(0).address(), "up"));
         watch.write(
             ProxyFixture.okResponse(
                 new JsonMapper()
                     .writerWithDefaultPrettyPrinter()
-                    .writeValueAsString(new JsonMapper().readTree(plain))
+                    .writeValueAsString(new JsonMapper().readTree(unindentedList))
                     .replace("\n", "\r\n\t")));
         assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(fixture.policy.updates));
-        assertWatches(45, watch);
+        assertWatchRequest(45, watch);
         fixture.assertStillServes();
       }
     }
 
     @Test
     void instancesWithDifferentSeedsWaitForDifferentTimes() throws Exception {
-      List<Integer> first = new ArrayList<>();
-      List<Integer> second = new ArrayList<>();
-      for (List<Integer> waits : List.of(first, second)) {
-        try (ProxyFixture copy = new ProxyFixture()) {
-          copy.seed = waits == first ? "1" : "2";
-          copy.registryMode = "automatic";
-          copy.start(LatencyWeightedPolicy::new);
-          HttpPeer watch = copy.discovery.accept();
+      List<Integer> waitsOfFirst = new ArrayList<>();
+      List<Integer> waitsOfSecond = new ArrayList<>();
+      for (List<Integer> waits : List.of(waitsOfFirst, waitsOfSecond)) {
+        try (ProxyFixture proxy = new ProxyFixture()) {
+          proxy.seed = waits == waitsOfFirst ? "1" : "2";
+          proxy.registryMode = "automatic";
+          proxy.start(LatencyWeightedPolicy::new);
+          HttpPeer watch = proxy.discovery.accept();
           // The first watch does not wait in either instance.
-          assertEquals(0, assertWatches(41, watch));
+          assertEquals(0, assertWatchRequest(41, watch));
           watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
           for (int version = 42; version < 50; version++) {
-            waits.add(assertWatches(version, watch));
+            waits.add(assertWatchRequest(version, watch));
             watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(version + 1, false)));
           }
         }
       }
-      for (int i = 0; i < first.size(); i++) {
-        assertNotEquals(first.get(i), second.get(i));
+      for (int i = 0; i < waitsOfFirst.size(); i++) {
+        assertNotEquals(waitsOfFirst.get(i), waitsOfSecond.get(i));
       }
-      assertTrue(first.stream().distinct().count() > 1);
+      assertTrue(waitsOfFirst.stream().distinct().count() > 1);
     }
 
     @Test
     void watchIsRestartedWhenTheListedEndpointsAreUnreachable() throws Exception {
-      try (ProxyFixture two = new ProxyFixture(2)) {
-        two.upstreams.get(0).close();
-        two.knownEndpoints = 1;
-        two.pollIntervalMillis = 0;
-        two.maxAttempts = 3;
-        two.start(LatencyWeightedPolicy::new);
-        HttpPeer silent = two.discovery.accept();
-        assertWatches(41, silent);
-        HttpPeer client = two.connectClient();
+      try (ProxyFixture proxy = new ProxyFixture(2)) {
+        proxy.upstreams.get(0).close();
+        proxy.knownEndpoints = 1;
+        proxy.pollIntervalMillis = 0;
+        proxy.maxAttempts = 3;
+        proxy.start(LatencyWeightedPolicy::new);
+        HttpPeer silentWatch = proxy.discovery.accept();
+        assertWatchRequest(41, silentWatch);
+        HttpPeer client = proxy.connectClient();
         client.write(ProxyFixture.idempotentRequest("d1", "5"));
         assertEquals(503, client.read().status());
-        // The old watch is closed, and the new one covers what it missed.
-        HttpPeer watch = two.discovery.accept();
-        assertWatches(41, watch);
-        assertTrue(silent.isClosedByPeer());
+        // The proxy has restarted the watch; the new one brings the update that the old one missed.
+        HttpPeer watch = proxy.discovery.accept();
+        assertWatchRequest(41, watch);
+        assertTrue(silentWatch.isClosedByPeer());
         watch.write(
             ProxyFixture.okResponse(
                 ProxyFixture.endpointList(
                     42,
                     false,
                     "{\"id\":\"s-00000000\",\"state\":\"removed\"}",
-                    ProxyFixture.endpointEntry(1, two.upstreams.get(1).address(), "up"))));
-        assertWatches(42, watch);
+                    ProxyFixture.endpointEntry(1, proxy.upstreams.get(1).address(), "up"))));
+        assertWatchRequest(42, watch);
         client.write(ProxyFixture.idempotentRequest("d2", "5"));
-        HttpPeer upstream = two.upstreams.get(1).accept();
+        HttpPeer upstream = proxy.upstreams.get(1).accept();
         upstream.read();
         upstream.write(ProxyFixture.okResponse("served"));
         assertEquals(200, client.read().status());
@@ -289,15 +302,16 @@
       try (fixture) {
         fixture.registryMode = "automatic";
         fixture.start(LatencyWeightedPolicy::new);
-        HttpPeer silent = fixture.discovery.accept();
-        assertEquals(0, assertWatches(41, silent));
-        silent.write(ProxyFixture.okResponse(ProxyFixture.endpointList(41, false)));
-        // Updates count as notified after 6 s; the dead watch must have timed out by then.
-        int wait = assertWatches(41, silent);
-        assertTrue(wait > 0 && wait <= 2_000);
+        HttpPeer silentWatch = fixture.discovery.accept();
+        assertEquals(0, assertWatchRequest(41, silentWatch));
+        silentWatch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(41, false)));
+        // This instance counts as notified of an update 6 s after it. A dead watch must have timed
+        // out by then, so the wait is at most 2 s.
+        int waitMillis = assertWatchRequest(41, silentWatch);
+        assertTrue(waitMillis > 0 && waitMillis <= 2_000);
         HttpPeer watch = fixture.discovery.accept();
-        assertTrue(silent.isClosedByPeer());
-        assertWatches(41, watch);
+        assertTrue(silentWatch.isClosedByPeer());
+        assertWatchRequest(41, watch);
       }
     }
   }
@@ -317,16 +331,16 @@
           "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
           "HTTP/1.1 200 OK\r\nContent-Length: 28\r\n\r\n{\"version\":50,\"servers\":[{}]}"
         })
-    void invalidResponseIsAFailureAndTheKnownListStaysInUse(String answer) throws Exception {
+    void invalidResponseIsAFailureAndTheKnownListStaysInUse(String response) throws Exception {
       try (fixture) {
-        started();
+        startProxy();
         HttpPeer watch = fixture.discovery.accept();
         watch.read();
-        watch.write(answer);
+        watch.write(response);
         watch.close();
         assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(fixture.policy.updates));
         fixture.assertStillServes();
-        // One call is one failure, and the policy can continue from the known version.
+        // The call is reported as failed once, and a new watch continues from the known version.
         assertTrue(fixture.policy.updates.isEmpty());
         fixture.policy.onRequest =
             request -> {
@@ -334,19 +348,19 @@
               fixture.policy.actions.watchEndpoints(true);
             };
         fixture.connectClient().write(ProxyFixture.idempotentRequest("again", "10"));
-        assertWatches(41, fixture.discovery.accept());
+        assertWatchRequest(41, fixture.discovery.accept());
       }
     }
 
     @Test
     void truncatedListLeavesAllSixtyEndpointsInUse() throws Exception {
-      try (ProxyFixture many = new ProxyFixture(60)) {
-        many.policy.onStart = () -> many.policy.actions.watchEndpoints(true);
-        many.start();
-        assertEquals(EndpointUpdateType.CACHED, ScriptedPolicy.takeNext(many.policy.updates));
-        HttpPeer watch = many.discovery.accept();
+      try (ProxyFixture proxy = new ProxyFixture(60)) {
+        proxy.policy.onStart = () -> proxy.policy.actions.watchEndpoints(true);
+        proxy.start();
+        assertEquals(EndpointUpdateType.CACHED, ScriptedPolicy.takeNext(proxy.policy.updates));
+        HttpPeer watch = proxy.discovery.accept();
         watch.read();
-        String fewer =
+        String response =
             ProxyFixture.okResponse(
                 ProxyFixture.endpointList(
                     42,
@@ -355,29 +369,29 @@
                         .mapToObj(
                             i ->
                                 ProxyFixture.endpointEntry(
-                                    i, many.upstreams.get(i).address(), "up"))
+                                    i, proxy.upstreams.get(i).address(), "up"))
                         .toArray(String[]::new)));
-        watch.write(fewer.substring(0, fewer.length() / 2));
+        watch.write(response.substring(0, response.length() / 2));
         watch.close();
-        assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(many.policy.updates));
-        HttpPeer client = many.connectClient();
+        assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(proxy.policy.updates));
+        HttpPeer client = proxy.connectClient();
         for (int i = 0; i < 60; i++) {
-          int place = i;
-          many.policy.onRequest = request -> many.policy.sendTo(place, request, 0);
+          int upstreamIndex = i;
+          proxy.policy.onRequest = request -> proxy.policy.sendTo(upstreamIndex, request, 0);
           client.write(ProxyFixture.idempotentRequest("still" + i, "10"));
-          HttpPeer upstream = many.upstreams.get(i).accept();
+          HttpPeer upstream = proxy.upstreams.get(i).accept();
           upstream.read();
           upstream.write(ProxyFixture.okResponse("well"));
           assertEquals(200, client.read().status());
         }
-        assertTrue(many.policy.updates.isEmpty());
+        assertTrue(proxy.policy.updates.isEmpty());
       }
     }
 
     @Test
     void endlessResponseIsAFailureAndTheKnownListStaysInUse() throws Exception {
       try (fixture) {
-        started();
+        startProxy();
         HttpPeer watch = fixture.discovery.accept();
         watch.read();
         watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -387,7 +401,7 @@
             watch.write(chunk);
           }
         } catch (IOException e) {
-          // The client has closed the connection.
+          // The proxy has closed the connection.
         }
         assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(fixture.policy.updates));
         fixture.assertStillServes();
@@ -398,15 +412,15 @@
     @Test
     void fullListIsRequestedAfterAnUpdateCouldNotBeApplied() throws Exception {
       try (fixture) {
-        started();
+        startProxy();
         fixture.policy.onUpdate =
             change -> {
               if (change == EndpointUpdateType.DELTA) {
-                throw new IllegalStateException("made by a test");
+                throw new IllegalStateException("thrown by the test");
               }
             };
         HttpPeer watch = fixture.discovery.accept();
-        assertWatches(41, watch);
+        assertWatchRequest(41, watch);
         watch.write(
             ProxyFixture.okResponse(
                 ProxyFixture.endpointList(
@@ -421,7 +435,7 @@
         HttpPeer client = fixture.connectClient();
         client.write(ProxyFixture.idempotentRequest("again", "10"));
         client.read();
-        // The only call since then, over the same connection.
+        // The client made no other call since the failure, and used the same connection.
         assertEquals("GET /catalog/members HTTP/1.1", watch.read().startLine());
         watch.write(
             ProxyFixture.okResponse(
@@ -430,7 +444,7 @@
                     true,
                     ProxyFixture.endpointEntry(0, fixture.upstreams.get(0).address(), "up"))));
         assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(fixture.policy.updates));
-        assertWatches(45, watch);
+        assertWatchRequest(45, watch);
         assertEquals(0, fixture.discovery.pendingConnections());
         fixture.policy.onRequest = request -> fixture.policy.sendTo(0, request, 0);
         fixture.assertStillServes();
@@ -438,7 +452,7 @@
     }
   }
 
-  /** Calls without a response, and the calls after them. */
+  /** Calls without a usable response, and the calls after them. */
   @Nested
   class FailedCall {
 
@@ -446,7 +460,7 @@
     void refusedConnectionIsAFailure() throws Exception {
       try (fixture) {
         fixture.discovery.close();
-        started();
+        startProxy();
         assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(fixture.policy.updates));
       }
     }
@@ -456,7 +470,7 @@
       try (fixture) {
         fixture.start(loadbalancer.policy.LatencyWeightedPolicy::new);
         fixture.discovery.accept().reset();
-        assertWatches(41, fixture.discovery.accept());
+        assertWatchRequest(41, fixture.discovery.accept());
       }
     }
 
@@ -465,10 +479,10 @@
       try (fixture;
           StandaloneClient standalone =
               new StandaloneClient(fixture, fixture.discovery.address(), 100)) {
-        standalone.watch(WATCH_LIMIT_MILLIS);
+        standalone.watch(WATCH_LATE_MILLIS);
         HttpPeer watch = fixture.discovery.accept();
-        int wait = assertWatches(41, watch);
-        assertTrue(wait >= 50 && wait <= 100);
+        int waitMillis = assertWatchRequest(41, watch);
+        assertTrue(waitMillis >= 50 && waitMillis <= 100);
         assertTrue(watch.isClosedByPeer());
         assertEquals("FAILED", ScriptedPolicy.takeNext(standalone.events));
       }
@@ -479,18 +493,19 @@
       try (fixture;
           StandaloneClient standalone =
               new StandaloneClient(fixture, fixture.discovery.address(), 20_000)) {
-        standalone.watch(WATCH_LIMIT_MILLIS);
-        HttpPeer refused = fixture.discovery.accept();
-        refused.read();
-        refused.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+        standalone.watch(WATCH_LATE_MILLIS);
+        HttpPeer firstWatch = fixture.discovery.accept();
+        firstWatch.read();
+        firstWatch.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
         assertEquals("FAILED", ScriptedPolicy.takeNext(standalone.events));
         standalone.watch(1_500);
-        HttpPeer slow = fixture.discovery.accept();
-        slow.read();
-        // A discovery under load must not get a second call before the first has timed out.
+        HttpPeer secondWatch = fixture.discovery.accept();
+        secondWatch.read();
+        // The second call must still be pending: an overloaded discovery must not get another one
+        // before the full timeout.
         assertEquals(StandaloneClient.WATCH_LATE, ScriptedPolicy.takeNext(standalone.events));
         String entry = ProxyFixture.endpointEntry(0, fixture.upstreams.get(0).address(), "up");
-        slow.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, true, entry)));
+        secondWatch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, true, entry)));
         assertEquals("FULL", ScriptedPolicy.takeNext(standalone.events));
       }
     }
@@ -498,10 +513,11 @@
     @Test
     void connectTimeoutIsAFailureAfterOneSecond() throws Exception {
       try (fixture;
-          FullBacklogListener full = new FullBacklogListener();
+          FullBacklogListener fullListener = new FullBacklogListener();
           StandaloneClient standalone =
-              new StandaloneClient(fixture, full.address(), DiscoveryClient.MAX_WATCH_MILLIS)) {
-        standalone.watch(WATCH_LIMIT_MILLIS);
+              new StandaloneClient(
+                  fixture, fullListener.address(), DiscoveryClient.MAX_WATCH_MILLIS)) {
+        standalone.watch(WATCH_LATE_MILLIS);
         assertEquals("FAILED", ScriptedPolicy.takeNext(standalone.events));
       }
     }
@@ -514,18 +530,18 @@
                   fixture, fixture.discovery.address(), DiscoveryClient.MAX_WATCH_MILLIS)) {
         standalone.channelFactory =
             () -> {
-              throw new ChannelException("made by a test");
+              throw new ChannelException("thrown by the test");
             };
         for (int i = 0; i < 2; i++) {
-          standalone.watch(WATCH_LIMIT_MILLIS);
+          standalone.watch(WATCH_LATE_MILLIS);
           assertEquals(
               StandaloneClient.FREE_DESCRIPTORS, ScriptedPolicy.takeNext(standalone.events));
           assertEquals("FAILED", ScriptedPolicy.takeNext(standalone.events));
         }
         standalone.loop.execute(() -> standalone.channelFactory = NioSocketChannel::new);
-        standalone.watch(WATCH_LIMIT_MILLIS);
+        standalone.watch(WATCH_LATE_MILLIS);
         HttpPeer watch = fixture.discovery.accept();
-        assertWatches(41, watch);
+        assertWatchRequest(41, watch);
         watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
         assertEquals("DELTA", ScriptedPolicy.takeNext(standalone.events));
       }
@@ -536,9 +552,9 @@
       try (fixture;
           StandaloneClient standalone =
               new StandaloneClient(fixture, fixture.discovery.address(), 100)) {
-        standalone.watch(WATCH_LIMIT_MILLIS);
+        standalone.watch(WATCH_LATE_MILLIS);
         HttpPeer watch = fixture.discovery.accept();
-        assertWatches(41, watch);
+        assertWatchRequest(41, watch);
         watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         try {
           while (standalone.events.isEmpty()) {
@@ -558,47 +574,47 @@
           StandaloneClient standalone =
               new StandaloneClient(
                   fixture, fixture.discovery.address(), DiscoveryClient.MAX_WATCH_MILLIS)) {
-        standalone.watch(WATCH_LIMIT_MILLIS);
+        standalone.watch(WATCH_LATE_MILLIS);
         fixture.discovery.accept().reset();
         assertEquals("FAILED", ScriptedPolicy.takeNext(standalone.events));
-        standalone.watch(WATCH_LIMIT_MILLIS);
-        HttpPeer silent = fixture.discovery.accept();
-        // A watch that waited would show a dead discovery only after its wait.
-        assertEquals(0, assertWatches(41, silent));
+        standalone.watch(WATCH_LATE_MILLIS);
+        HttpPeer silentWatch = fixture.discovery.accept();
+        // With a wait, a dead discovery would be detected only after that wait.
+        assertEquals(0, assertWatchRequest(41, silentWatch));
         assertEquals("FAILED", ScriptedPolicy.takeNext(standalone.events));
-        standalone.watch(WATCH_LIMIT_MILLIS);
+        standalone.watch(WATCH_LATE_MILLIS);
         HttpPeer watch = fixture.discovery.accept();
-        assertEquals(0, assertWatches(41, watch));
+        assertEquals(0, assertWatchRequest(41, watch));
         watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
-        // After a response, watches wait again.
-        assertTrue(assertWatches(42, watch) > 0);
+        // After a response, watches ask discovery to wait again.
+        assertTrue(assertWatchRequest(42, watch) > 0);
       }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"automatic", "subscribe"})
-    void watchAfterFailuresDoesNotWait(String mode) throws Exception {
+    void watchAfterFailuresDoesNotWait(String registryMode) throws Exception {
       try (fixture) {
-        fixture.registryMode = mode;
+        fixture.registryMode = registryMode;
         fixture.firstUpdateTimeoutMillis = 1;
         fixture.start(LatencyWeightedPolicy::new);
-        HttpPeer first = fixture.discovery.accept();
-        assertWatches(41, first);
-        first.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
-        assertWatches(42, first);
-        first.reset();
+        HttpPeer firstWatch = fixture.discovery.accept();
+        assertWatchRequest(41, firstWatch);
+        firstWatch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
+        assertWatchRequest(42, firstWatch);
+        firstWatch.reset();
         for (int i = 0; i < 2; i++) {
           fixture.discovery.accept().reset();
         }
         HttpPeer watch = fixture.discovery.accept();
-        assertEquals(0, assertWatches(42, watch));
+        assertEquals(0, assertWatchRequest(42, watch));
         watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(43, false)));
-        assertTrue(assertWatches(43, watch) >= DiscoveryClient.MAX_WATCH_MILLIS / 2);
+        assertTrue(assertWatchRequest(43, watch) >= DiscoveryClient.MAX_WATCH_MILLIS / 2);
       }
     }
   }
 
-  /** The first response of a new process. */
+  /** The start of a process, before and after the first response of discovery. */
   @Nested
   class Start {
 
@@ -609,14 +625,14 @@
         fixture.registryMode = "automatic";
         fixture.policy.onStart = () -> {};
         fixture.firstUpdateTimeoutMillis = HttpPeer.TIMEOUT_MILLIS;
-        Thread agent =
+        Thread discoveryThread =
             new Thread(
                 () -> {
                   try {
                     HttpPeer watch = fixture.discovery.accept();
-                    // Only an immediate response shows that the known list is up to date.
-                    assertEquals(0, assertWatches(41, watch));
-                    // A proxy that did not wait for this response would serve by now.
+                    // Only an immediate response shows whether the configured list is up to date.
+                    assertEquals(0, assertWatchRequest(41, watch));
+                    // A proxy that did not wait for this response would serve within this time.
                     started.await(300, TimeUnit.MILLISECONDS);
                     watch.write(
                         ProxyFixture.okResponse(
@@ -629,12 +645,12 @@
                     throw new AssertionError(e);
                   }
                 });
-        agent.start();
+        discoveryThread.start();
         fixture.start();
         started.countDown();
         assertEquals(EndpointUpdateType.CACHED, fixture.policy.updates.poll());
         assertEquals(EndpointUpdateType.DELTA, fixture.policy.updates.poll());
-        agent.join();
+        discoveryThread.join();
       }
     }
 
@@ -659,10 +675,10 @@
     void fetchRequestsTheFullList() throws Exception {
       try (fixture) {
         fixture.policy.onStart = () -> fixture.policy.actions.fetchEndpoints();
-        started();
-        HttpPeer call = fixture.discovery.accept();
-        assertEquals("GET /catalog/members HTTP/1.1", call.read().startLine());
-        call.write(ProxyFixture.okResponse(ProxyFixture.endpointList(50, true)));
+        startProxy();
+        HttpPeer fetch = fixture.discovery.accept();
+        assertEquals("GET /catalog/members HTTP/1.1", fetch.read().startLine());
+        fetch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(50, true)));
         assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(fixture.policy.updates));
       }
     }
@@ -671,17 +687,17 @@
     void fetchClosesItsConnection() throws Exception {
       try (fixture) {
         fixture.policy.onStart = () -> fixture.policy.actions.fetchEndpoints();
-        started();
-        HttpPeer call = fixture.discovery.accept();
-        call.read();
-        call.write(ProxyFixture.okResponse(ProxyFixture.endpointList(50, true)));
+        startProxy();
+        HttpPeer fetch = fixture.discovery.accept();
+        fetch.read();
+        fetch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(50, true)));
         assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(fixture.policy.updates));
-        assertTrue(call.isClosedByPeer());
+        assertTrue(fetch.isClosedByPeer());
       }
     }
   }
 
-  /** A reload that names another discovery. */
+  /** A reload of the configuration with another discovery address. */
   @Nested
   class Switch {
 
@@ -689,20 +705,20 @@
     void switchRequestsTheFullListAndCancelsTheOldWatch() throws Exception {
       Path file = Files.createTempFile("node", ".json");
       try (fixture;
-          ScriptedListener second = new ScriptedListener();
-          ScriptedListener third = new ScriptedListener()) {
-        started();
-        HttpPeer old = fixture.discovery.accept();
-        old.read();
-        ScriptedListener[] moves = {second, third};
-        for (ScriptedListener move : moves) {
+          ScriptedListener secondDiscovery = new ScriptedListener();
+          ScriptedListener thirdDiscovery = new ScriptedListener()) {
+        startProxy();
+        HttpPeer oldWatch = fixture.discovery.accept();
+        oldWatch.read();
+        ScriptedListener[] newDiscoveries = {secondDiscovery, thirdDiscovery};
+        for (ScriptedListener newDiscovery : newDiscoveries) {
           Files.writeString(
-              file, fixture.config().replace(fixture.discovery.address(), move.address()));
+              file, fixture.config().replace(fixture.discovery.address(), newDiscovery.address()));
           fixture.server.reload(ProxyConfig.read(file.toString()));
-          HttpPeer fresh = move.accept();
-          assertEquals("GET /catalog/members HTTP/1.1", fresh.read().startLine());
-          assertTrue(old.isClosedByPeer());
-          fresh.write(
+          HttpPeer newWatch = newDiscovery.accept();
+          assertEquals("GET /catalog/members HTTP/1.1", newWatch.read().startLine());
+          assertTrue(oldWatch.isClosedByPeer());
+          newWatch.write(
               ProxyFixture.okResponse(
                   ProxyFixture.endpointList(
                       7,
@@ -710,8 +726,8 @@
                       ProxyFixture.endpointEntry(0, fixture.upstreams.get(0).address(), "up"))));
           // The cancelled watch was not reported as a failure.
           assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(fixture.policy.updates));
-          assertWatches(7, fresh);
-          old = fresh;
+          assertWatchRequest(7, newWatch);
+          oldWatch = newWatch;
         }
         fixture.assertStillServes();
       } finally {
@@ -723,40 +739,40 @@
     void responsesOfTheOldDiscoveryAreIgnoredAfterASwitch() throws Exception {
       Path file = Files.createTempFile("node", ".json");
       try (fixture;
-          ScriptedListener second = new ScriptedListener()) {
+          ScriptedListener newDiscovery = new ScriptedListener()) {
         fixture.policy.onStart =
             () -> {
               fixture.policy.actions.watchEndpoints(true);
               fixture.policy.actions.fetchEndpoints();
             };
-        started();
-        HttpPeer[] old = {fixture.discovery.accept(), fixture.discovery.accept()};
-        old[0].read();
-        old[1].read();
+        startProxy();
+        HttpPeer[] oldConnections = {fixture.discovery.accept(), fixture.discovery.accept()};
+        oldConnections[0].read();
+        oldConnections[1].read();
         Files.writeString(
-            file, fixture.config().replace(fixture.discovery.address(), second.address()));
+            file, fixture.config().replace(fixture.discovery.address(), newDiscovery.address()));
         fixture.server.reload(ProxyConfig.read(file.toString()));
-        HttpPeer watch = second.accept();
-        watch.read();
-        for (HttpPeer call : old) {
+        HttpPeer newWatch = newDiscovery.accept();
+        newWatch.read();
+        for (HttpPeer connection : oldConnections) {
           try {
-            call.write(ProxyFixture.okResponse(ProxyFixture.endpointList(99, true)));
+            connection.write(ProxyFixture.okResponse(ProxyFixture.endpointList(99, true)));
           } catch (IOException e) {
-            // The connection of the watch is closed already.
+            // The proxy has already closed the connection of the old watch.
           }
         }
         // The fetch is repeated at the new address.
-        HttpPeer fetch = second.accept();
-        assertEquals("GET /catalog/members HTTP/1.1", fetch.read().startLine());
+        HttpPeer newFetch = newDiscovery.accept();
+        assertEquals("GET /catalog/members HTTP/1.1", newFetch.read().startLine());
         assertTrue(fixture.policy.updates.isEmpty());
-        watch.write(
+        newWatch.write(
             ProxyFixture.okResponse(
                 ProxyFixture.endpointList(
                     7,
                     true,
                     ProxyFixture.endpointEntry(0, fixture.upstreams.get(0).address(), "up"))));
         assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(fixture.policy.updates));
-        assertWatches(7, watch);
+        assertWatchRequest(7, newWatch);
         fixture.assertStillServes();
       } finally {
         Files.delete(file);
@@ -765,38 +781,39 @@
 
     @Test
     void switchToTheSameDiscoveryOrBackLeavesOneWatch() throws Exception {
-      Path first = Files.createTempFile("node", ".json");
-      Path other = Files.createTempFile("node", ".json");
+      Path originalConfig = Files.createTempFile("node", ".json");
+      Path otherConfig = Files.createTempFile("node", ".json");
       try (fixture;
-          ScriptedListener second = new ScriptedListener()) {
-        started();
+          ScriptedListener otherDiscovery = new ScriptedListener()) {
+        startProxy();
         HttpPeer watch = fixture.discovery.accept();
-        assertWatches(41, watch);
-        Files.writeString(first, fixture.config());
+        assertWatchRequest(41, watch);
+        Files.writeString(originalConfig, fixture.config());
         Files.writeString(
-            other, fixture.config().replace(fixture.discovery.address(), second.address()));
-        fixture.server.reload(ProxyConfig.read(first.toString()));
+            otherConfig,
+            fixture.config().replace(fixture.discovery.address(), otherDiscovery.address()));
+        fixture.server.reload(ProxyConfig.read(originalConfig.toString()));
         watch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(42, false)));
         assertEquals(EndpointUpdateType.DELTA, ScriptedPolicy.takeNext(fixture.policy.updates));
-        assertWatches(42, watch);
-        // Of two reloads in a row, the later one counts.
-        fixture.server.reload(ProxyConfig.read(other.toString()));
-        fixture.server.reload(ProxyConfig.read(first.toString()));
+        assertWatchRequest(42, watch);
+        // Of two reloads in a row, the second one takes effect.
+        fixture.server.reload(ProxyConfig.read(otherConfig.toString()));
+        fixture.server.reload(ProxyConfig.read(originalConfig.toString()));
         assertTrue(watch.isClosedByPeer());
-        HttpPeer back = fixture.discovery.accept();
-        assertEquals("GET /catalog/members HTTP/1.1", back.read().startLine());
-        back.write(
+        HttpPeer newWatch = fixture.discovery.accept();
+        assertEquals("GET /catalog/members HTTP/1.1", newWatch.read().startLine());
+        newWatch.write(
             ProxyFixture.okResponse(
                 ProxyFixture.endpointList(
                     3,
                     true,
                     ProxyFixture.endpointEntry(0, fixture.upstreams.get(0).address(), "up"))));
         assertEquals(EndpointUpdateType.FULL, ScriptedPolicy.takeNext(fixture.policy.updates));
-        assertWatches(3, back);
+        assertWatchRequest(3, newWatch);
         fixture.assertStillServes();
       } finally {
-        Files.delete(first);
-        Files.delete(other);
+        Files.delete(originalConfig);
+        Files.delete(otherConfig);
       }
     }
 
@@ -804,13 +821,13 @@
     void fullListIsRequestedAgainAfterTheNewDiscoveryFailed() throws Exception {
       Path file = Files.createTempFile("node", ".json");
       try (fixture;
-          ScriptedListener second = new ScriptedListener()) {
-        started();
+          ScriptedListener newDiscovery = new ScriptedListener()) {
+        startProxy();
         fixture.discovery.accept().read();
         Files.writeString(
-            file, fixture.config().replace(fixture.discovery.address(), second.address()));
+            file, fixture.config().replace(fixture.discovery.address(), newDiscovery.address()));
         fixture.server.reload(ProxyConfig.read(file.toString()));
-        second.accept().reset();
+        newDiscovery.accept().reset();
         assertEquals(EndpointUpdateType.FAILED, ScriptedPolicy.takeNext(fixture.policy.updates));
         fixture.policy.onRequest =
             request -> {
@@ -818,7 +835,7 @@
               fixture.policy.actions.watchEndpoints(true);
             };
         fixture.connectClient().write(ProxyFixture.idempotentRequest("again", "10"));
-        assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().startLine());
+        assertEquals("GET /catalog/members HTTP/1.1", newDiscovery.accept().read().startLine());
       } finally {
         Files.delete(file);
       }
--- a/src/test/java/loadbalancer/proxy/json/JsonReaderTest.java
+++ b/src/test/java/loadbalancer/proxy/json/JsonReaderTest.java
@@ -14,13 +14,13 @@
 
 class JsonReaderTest {
 
-  private static JsonNode read(String text) throws IOException {
-    return JsonReader.read(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)));
+  private static JsonNode read(String json) throws IOException {
+    return JsonReader.read(new ByteArrayInputStream(json.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
-  void treeEqualsThatOfJacksonsMapper() throws IOException {
-    for (String text :
+  void treeEqualsThatOfJacksonsObjectMapper() throws IOException {
+    for (String json :
         List.of(
             "{}",
             "[]",
@@ -38,9 +38,9 @@
             "null",
             "{\"a\":1,\"a\":{\"b\":[1,2.5,\"x\",null,true,{\"c\":[]}]},\"d\":\"\"}",
             "[[[[]],{}],1] 2")) {
-      JsonNode expected = new JsonMapper().readTree(text);
-      assertEquals(expected, read(text));
-      assertEquals(expected.toString(), read(text).toString());
+      JsonNode expected = new JsonMapper().readTree(json);
+      assertEquals(expected, read(json));
+      assertEquals(expected.toString(), read(json).toString());
     }
     assertTrue(read("").isMissingNode());
     assertTrue(read(" \n").isMissingNode());
@@ -48,7 +48,7 @@
 
   @Test
   void malformedJsonIsRejected() {
-    for (String text :
+    for (String json :
         List.of(
             "{",
             "[",
@@ -72,7 +72,7 @@
             "[".repeat(100_000),
             "{\"a\":".repeat(100_000))) {
       assertThrows(
-          IOException.class, () -> read(text), text.substring(0, Math.min(9, text.length())));
+          IOException.class, () -> read(json), json.substring(0, Math.min(9, json.length())));
     }
   }
 }
