--- a/src/main/java/loadbalancer/proxy/upstream/ForwardedRequest.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ForwardedRequest.java
@@ -10,7 +10,10 @@
 /** Builds the request that is sent to an endpoint from the client's request. Stateless. */
 final class ForwardedRequest {
 
-  /** The headers that are forwarded. All others concern only the client's connection. */
+  /**
+   * The end-to-end headers that are forwarded. All others are dropped, since they concern only the
+   * client's connection.
+   */
   private static final List<String> FORWARDED_HEADERS =
       List.of(
           ProtocolHeaders.REQUEST_ID,
--- a/src/main/java/loadbalancer/proxy/upstream/ResponseStallDetector.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ResponseStallDetector.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Detects a response that has begun and then stalls or progresses too slowly. Endpoints write a
+ * Detects a response that has started and then stalls or progresses too slowly. Endpoints write a
  * response in one go, so one that stays incomplete is not expected to be complete before the
  * deadline. Used on the event loop thread only.
  */
 final class ResponseStallDetector {
 
-  /** A response that has begun must receive more bytes in each such interval. */
+  /** A response that has started must receive more bytes in each such interval. */
   private static final long CHECK_INTERVAL_MILLIS = 300;
 
   /** The number of intervals after which a response that is still incomplete has stalled. */
@@ -19,7 +19,7 @@
 
   private enum Progress {
     /** No bytes of a response have arrived. */
-    NOT_BEGUN,
+    NOT_STARTED,
     /** Part of a response has arrived, but no bytes since the last check. */
     UNCHANGED,
     /** Part of a response has arrived, some of its bytes since the last check. */
@@ -28,11 +28,14 @@
 
   private final EventLoop loop;
   private final Runnable onStall;
-  private Progress progress = Progress.NOT_BEGUN;
+
+  /** The progress of the current response since the last check. */
+  private Progress progress = Progress.NOT_STARTED;
 
   /** How many checks the response to the current request has passed. */
   private int passedChecks;
 
+  /** The scheduled check; null if there is none. */
   private Future<?> nextCheck;
 
   /**
@@ -57,7 +60,7 @@
 
   /** Called when all received bytes have been decoded and the final response is not complete. */
   void readCompleted() {
-    if (progress != Progress.NOT_BEGUN && nextCheck == null) {
+    if (progress != Progress.NOT_STARTED && nextCheck == null) {
       scheduleCheck();
     }
   }
@@ -68,7 +71,7 @@
    * @param moreReceived whether further bytes have arrived after it
    */
   void messageCompleted(boolean moreReceived) {
-    progress = moreReceived ? Progress.ADVANCED : Progress.NOT_BEGUN;
+    progress = moreReceived ? Progress.ADVANCED : Progress.NOT_STARTED;
     cancel();
   }
 
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamClientOptions.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamClientOptions.java
@@ -35,25 +35,25 @@
           OptionalDouble.empty(),
           OptionalInt.empty());
 
-  /** Returns a copy with another fresh idle time. */
+  /** Returns a copy with another fresh idle time, in milliseconds. */
   public UpstreamClientOptions withFreshIdleMillis(double millis) {
     return new UpstreamClientOptions(
         millis, reuseDelayMillis, initialMedianConnectMillis, sendBufferBytes);
   }
 
-  /** Returns a copy with another reuse delay. */
+  /** Returns a copy with another reuse delay, in milliseconds. */
   public UpstreamClientOptions withReuseDelayMillis(double millis) {
     return new UpstreamClientOptions(
         freshIdleMillis, millis, initialMedianConnectMillis, sendBufferBytes);
   }
 
-  /** Returns a copy with another initial estimate of the median connect time. */
+  /** Returns a copy with another initial median connect time, in milliseconds. */
   public UpstreamClientOptions withInitialMedianConnectMillis(double millis) {
     return new UpstreamClientOptions(
         freshIdleMillis, reuseDelayMillis, OptionalDouble.of(millis), sendBufferBytes);
   }
 
-  /** Returns a copy with another send buffer size. */
+  /** Returns a copy with another send buffer size, in bytes. */
   public UpstreamClientOptions withSendBufferBytes(int bytes) {
     return new UpstreamClientOptions(
         freshIdleMillis, reuseDelayMillis, initialMedianConnectMillis, OptionalInt.of(bytes));
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -84,7 +84,9 @@
   }
 
   /**
-   * Called when no attempt uses the connection any more and it goes to the given endpoint's pool.
+   * Called when the attempt no longer uses the connection and it is returned to the pool.
+   *
+   * @param pooledFor the endpoint for which it is pooled
    */
   void detach(UpstreamEndpoint pooledFor) {
     attempt = null;
@@ -163,9 +165,9 @@
     } else if (!isValid(response)) {
       protocolViolation();
     } else if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-      interimResponse(response);
+      handleInterimResponse(response);
     } else {
-      finalResponse(response);
+      handleFinalResponse(response);
     }
   }
 
@@ -189,7 +191,7 @@
         && (attempt.isWritten() || response.status().code() != HttpResponseStatus.OK.code());
   }
 
-  private void interimResponse(FullHttpResponse response) {
+  private void handleInterimResponse(FullHttpResponse response) {
     interimResponses++;
     if (response.status().code() == HttpResponseStatus.SWITCHING_PROTOCOLS.code()
         || interimResponses > MAX_INTERIM_RESPONSES) {
@@ -197,7 +199,7 @@
     }
   }
 
-  private void finalResponse(FullHttpResponse response) {
+  private void handleFinalResponse(FullHttpResponse response) {
     UpstreamAttempt answeredAttempt = attempt;
     attempt = null;
     boolean reusable =
@@ -205,8 +207,8 @@
             && HttpUtil.isKeepAlive(response)
             && !decoder.hasBufferedBytes();
     answeredAttempt.responseReceived(response);
-    // Released only after the attempt is notified: the policy may start the next attempt in
-    // response, and acquiring this connection would read from it within its own read.
+    // Released only after the attempt is notified: the policy may react with another attempt, which
+    // would acquire this connection and read from it although it is just being read.
     if (reusable && channel.isActive()) {
       pool.release(this, endpoint);
     } else {
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamResponseDecoder.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamResponseDecoder.java
@@ -54,7 +54,7 @@
 
   /**
    * Whether the bytes continue the version prefix, or it is already complete. Without this check,
-   * Netty's decoder would wait for the end of the line if bytes without a line end arrive.
+   * Netty's decoder would buffer any bytes until the end of a line arrives.
    */
   private boolean matchesVersionPrefix(ByteBuf bytes) {
     int index = bytes.readerIndex();
