--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -596,7 +596,7 @@
     void watchAfterFailuresDoesNotWait(String registryMode) throws Exception {
       try (fixture) {
         fixture.registryMode = registryMode;
-        fixture.firstUpdateTimeoutMillis = 1;
+        fixture.firstEndpointListTimeoutMillis = 1;
         fixture.start(LatencyWeightedPolicy::new);
         HttpPeer firstWatch = fixture.discovery.accept();
         assertWatchRequest(41, firstWatch);
@@ -624,7 +624,7 @@
       try (fixture) {
         fixture.registryMode = "automatic";
         fixture.policy.onStart = () -> {};
-        fixture.firstUpdateTimeoutMillis = HttpPeer.TIMEOUT_MILLIS;
+        fixture.firstEndpointListTimeoutMillis = HttpPeer.TIMEOUT_MILLIS;
         Thread discoveryThread =
             new Thread(
                 () -> {
@@ -659,7 +659,7 @@
       try (fixture) {
         fixture.registryMode = "automatic";
         fixture.policy.onStart = () -> {};
-        fixture.firstUpdateTimeoutMillis = 1;
+        fixture.firstEndpointListTimeoutMillis = 1;
         fixture.start();
         fixture.discovery.accept().read();
         fixture.assertStillServes();
