--- a/src/main/java/loadbalancer/policy/AttemptEvidence.java
+++ b/src/main/java/loadbalancer/policy/AttemptRecorder.java
@@ -7,12 +7,12 @@
  * Records the outcomes and latencies of attempts in the statistics that {@link EndpointCost} uses.
  * A served attempt raises the success rate of its endpoint; any failure lowers it.
  */
-final class AttemptEvidence {
+final class AttemptRecorder {
 
   /** Lower bound of a recorded latency; it keeps the cost of every endpoint above 0. */
   private static final double MIN_LATENCY_MILLIS = 0.01;
 
-  private AttemptEvidence() {}
+  private AttemptRecorder() {}
 
   /**
    * Records the outcome of a finished attempt, and its latency if it was served. Ignores attempts
--- a/src/main/java/loadbalancer/policy/EndpointCost.java
+++ b/src/main/java/loadbalancer/policy/EndpointCost.java
@@ -53,7 +53,7 @@
   private static final double MIN_CONCURRENCY = 4;
 
   /**
-   * Relative cost increase outside the subset while there is no evidence of any endpoint. It falls
+   * Relative cost increase outside the subset before any attempt has been recorded. It decreases
    * with the square of the attempts per endpoint.
    */
   private static final double OUTSIDE_SUBSET_PENALTY = 60;
@@ -172,9 +172,9 @@
   }
 
   /**
-   * Keeps attempts in the subset while there is little evidence: that needs few connections and
-   * gives much evidence about each endpoint. What remains with much evidence is the penalty for the
-   * cost of connections.
+   * The factor for endpoints outside the subset. While few attempts have been recorded, it keeps
+   * attempts in the subset, which needs few connections and soon gives reliable statistics about
+   * its endpoints. With many recorded attempts, only the cost of connections remains.
    */
   private double outsideSubsetFactor(double attemptsPerEndpoint) {
     return 1 + OUTSIDE_SUBSET_PENALTY / Math.pow(1 + attemptsPerEndpoint, 2) + connectionPenalty;
--- a/src/main/java/loadbalancer/policy/EndpointStatistics.java
+++ b/src/main/java/loadbalancer/policy/EndpointStatistics.java
@@ -13,7 +13,7 @@
 final class EndpointStatistics {
 
   /** Time constant of the decay: the time after which an attempt counts 1/e of its weight. */
-  static final double EVIDENCE_DECAY_MILLIS = 8_000;
+  static final double STATISTICS_DECAY_MILLIS = 8_000;
 
   /** Shortest interval between two applications of the decay, to save processor time. */
   private static final double MIN_DECAY_INTERVAL_MILLIS = 200;
@@ -98,7 +98,7 @@
     if (now - decayedAtMillis < MIN_DECAY_INTERVAL_MILLIS) {
       return;
     }
-    double decayFactor = Math.exp((decayedAtMillis - now) / EVIDENCE_DECAY_MILLIS);
+    double decayFactor = Math.exp((decayedAtMillis - now) / STATISTICS_DECAY_MILLIS);
     relativeLatencySum *= decayFactor;
     latencySamples *= decayFactor;
     concurrencySum *= decayFactor;
--- a/src/main/java/loadbalancer/policy/EndpointSubset.java
+++ b/src/main/java/loadbalancer/policy/EndpointSubset.java
@@ -19,7 +19,7 @@
 
   /**
    * Size of a subset: large enough for a few endpoints to fail, and small enough for an instance to
-   * have recent evidence of each.
+   * have recent statistics about each.
    */
   private static final double TARGET_SIZE = 8;
 
--- a/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
+++ b/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
@@ -206,7 +206,7 @@
       Attempt attempt = request.attempts().get(number);
       request.startStreaming();
       attempt.startStreaming();
-      AttemptEvidence.recordLatency(attempt, elapsedMillis);
+      AttemptRecorder.recordLatency(attempt, elapsedMillis);
     }
   }
 
@@ -239,7 +239,7 @@
     attempt.request().attemptFinished();
     KeyedRequestQueue.attemptFinished(
         attempt.request(), outcome, settings.rules().keySettleMillis(), now);
-    AttemptEvidence.recordOutcome(attempt, result, now);
+    AttemptRecorder.recordOutcome(attempt, result, now);
     admission.attemptFinished(attempt, result, endpoints.ready(), now);
     if (outcome == AttemptOutcome.OK && attempt.number() > 0) {
       retryBudget.furtherAttemptServed();
--- a/src/main/java/loadbalancer/policy/OverloadDetector.java
+++ b/src/main/java/loadbalancer/policy/OverloadDetector.java
@@ -108,7 +108,7 @@
     double balance = 0;
     for (EndpointStatistics endpoint : ready) {
       if (placement.allows(endpoint.listedEndpoint())
-          && now - endpoint.latenessKnownAtMillis() < EndpointStatistics.EVIDENCE_DECAY_MILLIS) {
+          && now - endpoint.latenessKnownAtMillis() < EndpointStatistics.STATISTICS_DECAY_MILLIS) {
         double attempts = endpoint.attempts() + endpoint.inFlightCount();
         balance += endpoint.wasLate() ? attempts : -attempts;
       }
--- a/src/main/java/loadbalancer/proxy/eventloop/DescriptorBudget.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/DescriptorBudget.java
@@ -19,7 +19,7 @@
    */
   private static final int RESERVED_DESCRIPTORS = 64;
 
-  /** One in this many connections is reserved for clients; also the least number of connections. */
+  /** One in this many connections is reserved for clients; also the minimum number. */
   private static final int CLIENT_SHARE_DIVISOR = 5;
 
   /** A client that has been idle for longer than this is unlikely to send a request soon. */
@@ -85,7 +85,7 @@
 
   /**
    * Closes up to {@link #ACCEPT_BATCH} idle connections, after the process has run out of
-   * descriptors in spite of the budget.
+   * descriptors despite the budget.
    *
    * @param now the time in milliseconds
    */
--- a/src/test/java/loadbalancer/policy/EndpointSubsetTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointSubsetTest.java
@@ -14,7 +14,7 @@
 
   /** With 48 endpoints and a target size of 8, each subset has 8 endpoints. */
   @Test
-  void withLittleEvidenceMostAttemptsGoToABalancedSubset() {
+  void withFewRecordedAttemptsMostAttemptsGoToABalancedSubset() {
     int instances = 40;
     int[] attemptsByEndpoint = new int[49];
     int toEightMostUsed = 0;
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void withMuchEvidenceTheSubsetIsHardlyPreferred() {
+  void withManyRecordedAttemptsTheSubsetIsHardlyPreferred() {
     PolicyHarness harness = new PolicyHarness(TestSettings.settings().tier(1).build(), 1);
     TestSettings.EndpointBuilder[] list = new TestSettings.EndpointBuilder[48];
     for (int i = 0; i < list.length; i++) {
@@ -64,7 +64,7 @@
     int[] attemptsByEndpoint = new int[49];
     for (int i = 0; i < 8_000; i++) {
       harness.request(i, 0);
-      // The first half only collects evidence.
+      // The first half only fills the statistics.
       attemptsByEndpoint[(int) harness.lastAttempt().endpointId()] += i < 4_000 ? 0 : 1;
       harness.finishAfter(harness.lastAttempt(), AttemptOutcome.OK, 200);
     }
--- a/src/test/java/loadbalancer/policy/SlowStartTest.java
+++ b/src/test/java/loadbalancer/policy/SlowStartTest.java
@@ -184,11 +184,11 @@
     }
 
     private void run() {
-      long id = 0;
+      long requestId = 0;
       double now = START_MILLIS;
       while (now < START_MILLIS + scenario.lengthMillis) {
         // The burst takes the second half of the first window, in which the capacity of a warming
-        // endpoint is least.
+        // endpoint is lowest.
         double elapsedMillis = now - START_MILLIS;
         boolean inBurst =
             elapsedMillis > COLLAPSE_WINDOW_MILLIS / 2 && elapsedMillis < COLLAPSE_WINDOW_MILLIS;
@@ -201,10 +201,10 @@
         // Exponentially distributed intervals: requests arrive as a Poisson process.
         now += -Math.log(1 - random.nextDouble()) / requestsPerMilli;
         deliverResponsesUntil(now);
-        int i = pickInstance();
-        advance(i, now);
-        harnesses[i].request(id++, 0);
-        deliverAttempts(i);
+        int instance = pickInstance();
+        advance(instance, now);
+        harnesses[instance].request(requestId++, 0);
+        deliverAttempts(instance);
       }
     }
 
@@ -220,8 +220,8 @@
     private void deliverResponsesUntil(double now) {
       while (!dueResponses.isEmpty() && dueResponses.peek().atMillis() <= now) {
         DueResponse response = dueResponses.poll();
-        int i = Arrays.asList(harnesses).indexOf(response.harness());
-        advance(i, response.atMillis());
+        int instance = Arrays.asList(harnesses).indexOf(response.harness());
+        advance(instance, response.atMillis());
         if (response.harness().isOpen(response.sent().requestId())) {
           boolean fails =
               response.sent().endpointId() % scenario.endpoints >= scenario.warmingEndpoints
@@ -230,18 +230,22 @@
               .harness()
               .finish(response.sent(), fails ? AttemptOutcome.ERROR : AttemptOutcome.OK);
         }
-        deliverAttempts(i);
+        deliverAttempts(instance);
       }
     }
 
-    private void advance(int i, double now) {
-      harnesses[i].advance(Math.max(0, now - harnesses[i].now));
-      deliverAttempts(i);
+    private void advance(int instance, double now) {
+      harnesses[instance].advance(Math.max(0, now - harnesses[instance].now));
+      deliverAttempts(instance);
     }
 
-    private void deliverAttempts(int i) {
-      for (; deliveredAttempts[i] < harnesses[i].sentAttempts.size(); deliveredAttempts[i]++) {
-        PolicyHarness.SentAttempt sent = harnesses[i].sentAttempts.get(deliveredAttempts[i]);
+    /** Gives the endpoints what an instance has sent since the previous call. */
+    private void deliverAttempts(int instance) {
+      for (;
+          deliveredAttempts[instance] < harnesses[instance].sentAttempts.size();
+          deliveredAttempts[instance]++) {
+        PolicyHarness.SentAttempt sent =
+            harnesses[instance].sentAttempts.get(deliveredAttempts[instance]);
         int endpoint = (int) sent.endpointId() % scenario.endpoints;
         sendTimesMillis.get(endpoint).add(sent.atMillis());
         double queueingMillis = Math.max(0, nextStartMillis[endpoint] - sent.atMillis());
@@ -253,7 +257,7 @@
             new DueResponse(
                 sent.atMillis() + queueingMillis + SERVICE_MILLIS,
                 nextResponseOrder++,
-                harnesses[i],
+                harnesses[instance],
                 sent));
       }
     }
@@ -261,7 +265,7 @@
     /** The attempts sent to an endpoint within the given time from the start of the run. */
     double attemptsWithin(int endpoint, double durationMillis) {
       return sendTimesMillis.get(endpoint).stream()
-          .filter(at -> at < START_MILLIS + durationMillis)
+          .filter(sentAtMillis -> sentAtMillis < START_MILLIS + durationMillis)
           .count();
     }
   }
@@ -302,17 +306,18 @@
     double maxRelativeLoad = 0;
     for (int endpoint = 0; endpoint < scenario.warmingEndpoints; endpoint++) {
       List<Double> sendTimes = simulation.sendTimesMillis.get(endpoint);
-      int first = 0;
-      for (int last = 0; last < sendTimes.size(); last++) {
-        while (sendTimes.get(first) <= sendTimes.get(last) - COLLAPSE_WINDOW_MILLIS) {
-          first++;
+      int firstIndex = 0;
+      for (int lastIndex = 0; lastIndex < sendTimes.size(); lastIndex++) {
+        while (sendTimes.get(firstIndex) <= sendTimes.get(lastIndex) - COLLAPSE_WINDOW_MILLIS) {
+          firstIndex++;
         }
         double windowStartMillis =
-            Math.max(START_MILLIS, sendTimes.get(last) - COLLAPSE_WINDOW_MILLIS);
+            Math.max(START_MILLIS, sendTimes.get(lastIndex) - COLLAPSE_WINDOW_MILLIS);
         maxRelativeLoad =
             Math.max(
                 maxRelativeLoad,
-                (last - first + 1) / collapseThreshold(scenario, endpoint, windowStartMillis));
+                (lastIndex - firstIndex + 1)
+                    / collapseThreshold(scenario, endpoint, windowStartMillis));
       }
     }
     return maxRelativeLoad;
@@ -326,14 +331,14 @@
       Scenario scenario, int firstEndpoint, int endEndpoint, double durationMillis) {
     // The fewer the endpoints, the more runs are needed for a stable mean.
     int seeds = 40 / (endEndpoint - firstEndpoint);
-    double sum = 0;
+    double totalAttempts = 0;
     for (int seed = 0; seed < seeds; seed++) {
       Simulation simulation = new Simulation(scenario.lengthMillis(durationMillis), seed);
       for (int endpoint = firstEndpoint; endpoint < endEndpoint; endpoint++) {
-        sum += simulation.attemptsWithin(endpoint, durationMillis);
+        totalAttempts += simulation.attemptsWithin(endpoint, durationMillis);
       }
     }
-    return sum / seeds / (endEndpoint - firstEndpoint);
+    return totalAttempts / seeds / (endEndpoint - firstEndpoint);
   }
 
   @Test
