--- a/src/main/java/loadbalancer/policy/QueueingLimit.java
+++ b/src/main/java/loadbalancer/policy/QueueingLimit.java
@@ -32,7 +32,7 @@
    * time left in which its response is useful. Unlimited in the lower tiers.
    */
   double maxDelayMillis(InFlightRequest request, double now) {
-    if (tier > AdmissionController.CLIENT_TIER) {
+    if (tier > AdmissionController.CLIENT_FACING_TIER) {
       return Double.MAX_VALUE;
     }
     double maxValuePerWork = 0;
