--- a/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
+++ b/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
@@ -213,7 +213,7 @@
       Attempt attempt = request.attempts().get(attemptNumber);
       request.startStreaming();
       attempt.startStreaming();
-      AttemptEvidence.recordLatency(attempt, elapsedMillis);
+      AttemptRecorder.recordLatency(attempt, elapsedMillis);
     }
   }
 
@@ -246,7 +246,7 @@
     attempt.request().attemptFinished();
     KeyedRequestQueue.attemptFinished(
         attempt.request(), outcome, settings.rules().keySettleMillis(), now);
-    AttemptEvidence.recordOutcome(attempt, result, now);
+    AttemptRecorder.recordOutcome(attempt, result, now);
     admissionController.attemptFinished(attempt, result, endpointList.ready(), now);
     if (outcome == AttemptOutcome.OK && attempt.number() > 0) {
       retryBudget.retryOrHedgeServed();
--- a/src/main/java/loadbalancer/policy/OverloadDetector.java
+++ b/src/main/java/loadbalancer/policy/OverloadDetector.java
@@ -126,7 +126,7 @@
     double lateLessTimelyAttempts = 0;
     for (EndpointStatistics endpoint : readyEndpoints) {
       if (placement.allows(endpoint.listedEndpoint())
-          && now - endpoint.latenessKnownAtMillis() < EndpointStatistics.EVIDENCE_DECAY_MILLIS) {
+          && now - endpoint.latenessKnownAtMillis() < EndpointStatistics.STATISTICS_DECAY_MILLIS) {
         double recentAttempts = endpoint.attempts() + endpoint.inFlightCount();
         lateLessTimelyAttempts += endpoint.wasLate() ? recentAttempts : -recentAttempts;
       }
