--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -20,7 +20,8 @@
   /**
    * The longest time for which a watch asks discovery to wait for an update, in milliseconds. A
    * watch whose connection is dead is detected only once its response is overdue, and until then
-   * this instance misses updates.
+   * this instance misses updates, of which it may already count as notified; see {@link
+   * DiscoverySettings}.
    */
   public static final int MAX_WATCH_MILLIS = 2_000;
 
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoverySettings.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoverySettings.java
@@ -8,7 +8,8 @@
  *
  * @param address the address of discovery; a configuration reload may change it later
  * @param explicitWatch whether the policy starts the watch itself. Otherwise the proxy starts it,
- *     and this instance counts as notified of an update as soon as discovery has it
+ *     and by the platform's rules this instance counts as notified of an update at the latest 6 s
+ *     after discovery had it, even if the update has not arrived
  * @param zones the names of the zones, at the index that the policy uses for each
  * @param machineTypes the names of the machine types, at the index that the policy uses for each
  * @param seed the seed of the random wait times of watches; differs between instances
--- a/src/main/java/loadbalancer/proxy/discovery/WatchTiming.java
+++ b/src/main/java/loadbalancer/proxy/discovery/WatchTiming.java
@@ -48,7 +48,7 @@
    * For how long the next watch asks discovery to wait for an update, in milliseconds. The time is
    * random, so that instances that start together don't call discovery at the same times. It is
    * zero if the list may be outdated: after a failure, and before the first response if this
-   * instance counts as notified of updates even while it doesn't watch.
+   * instance counts as notified of updates that have not arrived, see {@link DiscoverySettings}.
    */
   int nextWaitMillis() {
     if (lastCallFailed || !(listConfirmed || explicitWatch)) {
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -159,8 +159,8 @@
   protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
     messageCompleted();
     if (attempt != null && !channel.isActive()) {
-      // Only the end of the connection completed this response, so a crash of the endpoint may have
-      // truncated it.
+      // Only the end of the connection completed this response, so it may be truncated, as by a
+      // crash of the endpoint.
       attempt.connectionLost();
     } else if (!isValid(response)) {
       protocolViolation();
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamClientTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamClientTest.java
@@ -104,8 +104,7 @@
   @Test
   void resetBeforeTheRequestIsWrittenIsConnectFailed() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture()) {
-      // The endpoint reads nothing and the buffers are small, so not all of the large body can be
-      // written.
+      // The endpoint reads nothing and the buffers are small, so the body can't be written whole.
       proxy.upstreams.set(0, new ScriptedListener(1_024));
       proxy.start();
       useOptions(proxy, options -> options.withSendBufferBytes(4_096));
@@ -136,8 +135,7 @@
   @Test
   void cancelClosesTheConnection() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture(2).start()) {
-      // A hedged request: the policy cancels the slower attempt once the faster one has its
-      // response.
+      // A hedged request: the policy cancels the slower attempt once the faster one has ended.
       proxy.policy.onRequest =
           request -> {
             proxy.policy.sendTo(0, request, 0);
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamResponseTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamResponseTest.java
@@ -62,8 +62,7 @@
       useOptions(proxy, options -> options.withSendBufferBytes(4_096));
       HttpPeer client = proxy.connectClient();
       client.write(ProxyFixture.atMostOnceRequest("1", "b".repeat(ProtocolHeaders.MAX_BODY_BYTES)));
-      // The endpoint reads nothing and the buffers are small, so not all of the request can be
-      // written.
+      // The endpoint reads nothing and the buffers are small, so the body can't be written whole.
       HttpPeer upstream = proxy.upstreams.get(0).accept();
       upstream.write(
           "HTTP/1.1 "
