--- a/src/main/java/loadbalancer/policy/EndpointCost.java
+++ b/src/main/java/loadbalancer/policy/EndpointCost.java
@@ -132,9 +132,9 @@
   }
 
   /**
-   * Raises the cost of a failing endpoint enough to offset the cross-zone penalty of healthy ones.
-   * Without it, an endpoint that fails at once would have no attempts in flight and look idle. One
-   * or two failures are not enough to send requests to another zone.
+   * Raises the cost of a failing endpoint enough to offset the cross-zone penalty of healthy
+   * endpoints in other zones. Without it, an endpoint that fails at once would have no attempts in
+   * flight and look idle. One or two failures are not enough to send requests to another zone.
    */
   private double failureFactor(double successRate) {
     return 1
--- a/src/main/java/loadbalancer/policy/EndpointSelector.java
+++ b/src/main/java/loadbalancer/policy/EndpointSelector.java
@@ -46,32 +46,39 @@
    * that the request has already tried is selected only if there is no other and no attempt of the
    * request is running.
    */
-  EndpointStatistics select(InFlightRequest request, List<EndpointStatistics> ready, double now) {
-    EndpointStatistics selected = select(request, ready, true, now);
+  EndpointStatistics select(
+      InFlightRequest request, List<EndpointStatistics> readyEndpoints, double now) {
+    EndpointStatistics selected = select(request, readyEndpoints, true, now);
     return selected == null && !request.hasRunningAttempt()
-        ? select(request, ready, false, now)
+        ? select(request, readyEndpoints, false, now)
         : selected;
   }
 
   private EndpointStatistics select(
-      InFlightRequest request, List<EndpointStatistics> ready, boolean untriedOnly, double now) {
-    assignWeights(request, ready, untriedOnly, now);
+      InFlightRequest request,
+      List<EndpointStatistics> readyEndpoints,
+      boolean untriedOnly,
+      double now) {
+    assignWeights(request, readyEndpoints, untriedOnly, now);
     EndpointStatistics warmingEndpoint =
-        slowStart.isActive(now) ? slowStart.select(ready, now) : null;
+        slowStart.isActive(now) ? slowStart.select(readyEndpoints, now) : null;
     if (warmingEndpoint != null) {
       return warmingEndpoint;
     }
-    double totalWeight = ready.stream().mapToDouble(EndpointStatistics::weight).sum();
-    return endpointAt(ready, random.nextDouble() * totalWeight);
+    double totalWeight = readyEndpoints.stream().mapToDouble(EndpointStatistics::weight).sum();
+    return endpointAt(readyEndpoints, random.nextDouble() * totalWeight);
   }
 
   /** Sets the weight of each endpoint: 1/cost, or 0 if the request may not be sent to it. */
   private void assignWeights(
-      InFlightRequest request, List<EndpointStatistics> ready, boolean untriedOnly, double now) {
+      InFlightRequest request,
+      List<EndpointStatistics> readyEndpoints,
+      boolean untriedOnly,
+      double now) {
     queueingLimitReached = false;
     double maxDelayMillis = queueingLimit.maxDelayMillis(request, now);
     double totalAttempts = 0;
-    for (EndpointStatistics endpoint : ready) {
+    for (EndpointStatistics endpoint : readyEndpoints) {
       totalAttempts += endpoint.attempts();
       boolean eligible =
           eligibility.mayReceive(endpoint, request, now)
@@ -84,7 +91,7 @@
               ? 1 / cost.costMillis(endpoint, request, attemptsPerEndpoint, now)
               : 0);
     }
-    attemptsPerEndpoint = totalAttempts / Math.max(1, ready.size());
+    attemptsPerEndpoint = totalAttempts / Math.max(1, readyEndpoints.size());
   }
 
   /**
@@ -92,10 +99,10 @@
    * cumulative weight; null if all weights are 0.
    */
   private static EndpointStatistics endpointAt(
-      List<EndpointStatistics> ready, double cumulativeWeight) {
+      List<EndpointStatistics> readyEndpoints, double cumulativeWeight) {
     EndpointStatistics selected = null;
     double remaining = cumulativeWeight;
-    for (EndpointStatistics endpoint : ready) {
+    for (EndpointStatistics endpoint : readyEndpoints) {
       if (endpoint.weight() > 0 && remaining >= 0) {
         selected = endpoint;
         remaining -= endpoint.weight();
--- a/src/main/java/loadbalancer/policy/EndpointSubset.java
+++ b/src/main/java/loadbalancer/policy/EndpointSubset.java
@@ -12,18 +12,18 @@
  * with an offset that depends on its index. Each subset then has about the same mix of zones and
  * machine types as the whole list, and each endpoint is in about the same number of subsets. A
  * round is a sequence of as many instances as the stride, whose subsets together hold each endpoint
- * once. Each round shuffles the endpoints of the same zone and machine type differently, so that no
- * two endpoints are in the subsets of exactly the same instances.
+ * once. Each round shuffles the endpoints of the same zone and machine type differently, so that
+ * two endpoints rarely are in the subsets of exactly the same instances.
  */
 final class EndpointSubset {
 
   /**
-   * Size of a subset: large enough for a few endpoints to fail, and small enough for an instance to
-   * have recent statistics about each.
+   * Target size of a subset: large enough for a few endpoints to fail, and small enough for an
+   * instance to have recent statistics about each.
    */
   private static final double TARGET_SIZE = 8;
 
-  /** Multiplies the endpoint ID in the shuffle seed, so that most IDs and rounds differ in seed. */
+  /** Factor of the endpoint ID in the shuffle seed, so that close IDs have different seeds. */
   private static final int SEED_MULTIPLIER = 31;
 
   private final int instanceIndex;
@@ -39,10 +39,10 @@
   }
 
   /** Chooses the subset again, after the list of ready endpoints has changed. */
-  void update(List<EndpointStatistics> ready) {
-    stride = (int) Math.max(1, ready.size() / TARGET_SIZE);
+  void update(List<EndpointStatistics> readyEndpoints) {
+    stride = (int) Math.max(1, readyEndpoints.size() / TARGET_SIZE);
     long round = instanceIndex / stride;
-    List<EndpointStatistics> ordered = new ArrayList<>(ready);
+    List<EndpointStatistics> ordered = new ArrayList<>(readyEndpoints);
     ordered.forEach(endpoint -> endpoint.setWeight(shuffleKey(endpoint, round)));
     ordered.sort(
         Comparator.<EndpointStatistics>comparingInt(endpoint -> endpoint.listedEndpoint().zone())
--- a/src/main/java/loadbalancer/policy/MachineTypeStatistics.java
+++ b/src/main/java/loadbalancer/policy/MachineTypeStatistics.java
@@ -24,8 +24,8 @@
     return successRate.value();
   }
 
-  void recordLatency(double relative) {
-    relativeLatency.add(relative);
+  void recordLatency(double latencyToExpectedRatio) {
+    relativeLatency.add(latencyToExpectedRatio);
   }
 
   void recordOutcome(boolean served) {
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -99,12 +99,15 @@
    * unused; the sum of an endpoint's budgets over all instances stays the same.
    */
   void grantBudget(
-      InFlightRequest request, List<EndpointStatistics> ready, int subsetStride, double now) {
+      InFlightRequest request,
+      List<EndpointStatistics> readyEndpoints,
+      int subsetStride,
+      double now) {
     if (!isActive(now)) {
       return;
     }
     List<EndpointStatistics> allowed =
-        ready.stream()
+        readyEndpoints.stream()
             .filter(endpoint -> request.requestClass().allows(endpoint.listedEndpoint()))
             .toList();
     double presentCapacity =
@@ -134,10 +137,10 @@
    * @return the endpoint with the highest accumulated probability, if that has reached 1; otherwise
    *     null
    */
-  EndpointStatistics select(List<EndpointStatistics> ready, double now) {
-    List<EndpointStatistics> warming = new ArrayList<>(ready);
+  EndpointStatistics select(List<EndpointStatistics> readyEndpoints, double now) {
+    List<EndpointStatistics> warming = new ArrayList<>(readyEndpoints);
     warming.removeIf(endpoint -> endpoint.weight() == 0 || warmUpFraction(endpoint, now) >= 1);
-    double probabilityPerWeight = spendExceededBudgets(warming, ready);
+    double probabilityPerWeight = spendExceededBudgets(warming, readyEndpoints);
     for (EndpointStatistics endpoint : warming) {
       endpoint.spendWarmUpBudget(
           endpoint.weight() > 0 ? probabilityPerWeight * endpoint.weight() : 0);
@@ -161,13 +164,14 @@
    * @return the selection probability of the remaining endpoints for each unit of weight
    */
   private static double spendExceededBudgets(
-      List<EndpointStatistics> warming, List<EndpointStatistics> ready) {
+      List<EndpointStatistics> warming, List<EndpointStatistics> readyEndpoints) {
     double remainingProbability = 1;
     double probabilityPerWeight;
     boolean excludedAny;
     do {
       probabilityPerWeight =
-          remainingProbability / ready.stream().mapToDouble(EndpointStatistics::weight).sum();
+          remainingProbability
+              / readyEndpoints.stream().mapToDouble(EndpointStatistics::weight).sum();
       excludedAny = false;
       for (EndpointStatistics endpoint : warming) {
         if (endpoint.warmUpBudget() < probabilityPerWeight * endpoint.weight()) {
