--- a/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
@@ -156,6 +156,7 @@
     closeIfIdle();
   }
 
+  /** Rejects a request received in part: "too late" in a shutdown, "too slow" on timeout. */
   private void rejectPartialRequest(String message) {
     onProtocolViolation(new BadRequestException(HttpResponseStatus.REQUEST_TIMEOUT, message));
     processNext();
@@ -244,6 +245,7 @@
     }
   }
 
+  /** Adds a request; "too many requests sent ahead" means that the pipeline is over its limit. */
   private void enqueue(FullHttpRequest request) throws BadRequestException {
     pipeline.add(request, earliestArrivalOfReadBytes());
     if (pipeline.isOverLimit(currentRequest.isPresent())) {
--- a/src/main/java/loadbalancer/proxy/frontend/RequestValidator.java
+++ b/src/main/java/loadbalancer/proxy/frontend/RequestValidator.java
@@ -98,9 +98,9 @@
    *     configured class, or differs from the first segment of the path
    */
   private int readRequestClass(FullHttpRequest request) throws BadRequestException {
-    String name = HeaderValues.single(request.headers(), ProtocolHeaders.REQUEST_CLASS);
-    Integer index = requestClassIndexes.get(name);
-    if (index == null || !name.equals(firstPathSegment(request.uri()))) {
+    String className = HeaderValues.single(request.headers(), ProtocolHeaders.REQUEST_CLASS);
+    Integer index = requestClassIndexes.get(className);
+    if (index == null || !className.equals(firstPathSegment(request.uri()))) {
       throw new BadRequestException("unknown class");
     }
     return index;
@@ -159,8 +159,9 @@
    * @throws BadRequestException ("unknown tenant") if the request names one that is not configured
    */
   private int readTenant(HttpHeaders headers) throws BadRequestException {
-    String name = HeaderValues.single(headers, ProtocolHeaders.TENANT);
-    int index = config.tenants().isEmpty() || name == null ? 0 : config.tenants().indexOf(name);
+    String tenantName = HeaderValues.single(headers, ProtocolHeaders.TENANT);
+    int index =
+        config.tenants().isEmpty() || tenantName == null ? 0 : config.tenants().indexOf(tenantName);
     if (index < 0) {
       throw new BadRequestException("unknown tenant");
     }
--- a/src/test/java/loadbalancer/proxy/CrossZoneSpillTest.java
+++ b/src/test/java/loadbalancer/proxy/CrossZoneSpillTest.java
@@ -70,8 +70,8 @@
         received[ScriptedPolicy.takeNext(receivedBy)]++;
       }
       // The expected latency starts at a fifth of the objective, and the endpoint is assumed to
-      // work
-      // on 5 requests at once, so the expected queueing delay of 25 is the whole objective.
+      // serve 5 requests at a time: with 25 in flight, the expected queueing delay equals the
+      // objective.
       assertTrue(
           received[0] <= 55,
           received[0] + " of " + REQUESTS + " requests were sent to the own zone, over 55");
