--- a/src/main/java/loadbalancer/benchmark/FakeDiscoveryService.java
+++ b/src/main/java/loadbalancer/benchmark/FakeDiscoveryService.java
@@ -183,9 +183,7 @@
         });
   }
 
-  /**
-   * Drops all kept changes, as a restart without state does, so that older versions get full lists.
-   */
+  /** Drops all changes, as a restart without state does, so that older versions get full lists. */
   void dropHistory() {
     onLoop(
         () -> {
@@ -196,9 +194,7 @@
         });
   }
 
-  /**
-   * Creates a version without changes that all balancers get as a full list; returns its number.
-   */
+  /** Creates a version without changes that balancers get as a full list; returns its number. */
   long resync() {
     return onLoop(
         () -> {
--- a/src/main/java/loadbalancer/simulation/SimulationHost.java
+++ b/src/main/java/loadbalancer/simulation/SimulationHost.java
@@ -77,7 +77,8 @@
     byte[] header = in.readNBytes(HEADER_BYTES);
     while (header.length > 0) {
       if (header.length < HEADER_BYTES) {
-        throw malformed("input ends inside the header");
+        throw malformed(
+            "input ends after " + header.length + " of " + HEADER_BYTES + " header bytes");
       }
       handleFrame(header, in);
       reply.writeTo(out);
--- a/src/test/java/loadbalancer/simulation/SimulationHostTest.java
+++ b/src/test/java/loadbalancer/simulation/SimulationHostTest.java
@@ -169,11 +169,11 @@
                 frame(10_005, new byte[0], requests),
                 frame(10_010, new byte[0], failures)));
     assertEquals(0, run.status, run.err);
-    int at = run.out.length - requests.length * ActionWriter.RECORD_BYTES;
+    int recordOffset = run.out.length - requests.length * ActionWriter.RECORD_BYTES;
     for (int i = 0; i < requests.length; i++) {
-      assertEquals(0, run.out[at]);
-      assertEquals(i + 1, LittleEndian.getLong(run.out, at + 5));
-      at += ActionWriter.RECORD_BYTES;
+      assertEquals(0, run.out[recordOffset]);
+      assertEquals(i + 1, LittleEndian.getLong(run.out, recordOffset + 5));
+      recordOffset += ActionWriter.RECORD_BYTES;
     }
   }
 
@@ -240,8 +240,8 @@
   @Test
   void malformedFramesEndTheRunWithAMessage() {
     byte[] noTail = new byte[0];
-    assertRejected("inside the header", new byte[5]);
-    assertRejected("input ends after", Arrays.copyOf(openingFrame(), 60));
+    assertRejected("input ends after 5 of 16 header bytes", new byte[5]);
+    assertRejected("input ends after 44 of ", Arrays.copyOf(openingFrame(), 60));
     byte[] tooManyRecords = new byte[SimulationHost.HEADER_BYTES];
     LittleEndian.putInt(tooManyRecords, 4, 7);
     assertRejected("7 records do not fit", tooManyRecords);
