--- a/src/main/java/loadbalancer/benchmark/FakeDiscoveryService.java
+++ b/src/main/java/loadbalancer/benchmark/FakeDiscoveryService.java
@@ -82,7 +82,7 @@
 
   private static final long MAX_WAIT_MILLIS = 60_000;
 
-  private final EventLoop loop;
+  private final EventLoop eventLoop;
   private final Listener listener;
   private final DiscoveryTraffic[] trafficByAddress = {
     new DiscoveryTraffic(), new DiscoveryTraffic()
@@ -123,7 +123,7 @@
   FakeDiscoveryService(List<EndpointEntry> initialEntries, Listener listener) {
     this.listener = listener;
     initialEntries.forEach(entry -> entries.put(entry.number(), entry));
-    loop =
+    eventLoop =
         (EventLoop)
             new MultiThreadIoEventLoopGroup(
                     1, new DefaultThreadFactory("discovery", true), NioIoHandler.newFactory())
@@ -132,7 +132,7 @@
       int addressIndex = i;
       servers.add(
           new ServerBootstrap()
-              .group(loop, loop)
+              .group(eventLoop, eventLoop)
               .channel(NioServerSocketChannel.class)
               .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
               .childOption(ChannelOption.TCP_NODELAY, true)
@@ -153,17 +153,17 @@
     return (InetSocketAddress) servers.get(addressIndex).localAddress();
   }
 
-  EventLoop loop() {
-    return loop;
+  EventLoop eventLoop() {
+    return eventLoop;
   }
 
   DiscoveryTraffic.Snapshot traffic(int addressIndex) {
-    return onLoop(() -> trafficByAddress[addressIndex].snapshot());
+    return onEventLoop(() -> trafficByAddress[addressIndex].snapshot());
   }
 
   /** Creates a version that adds, replaces or removes entries, and returns its number. */
   long change(List<EndpointEntry> changed) {
-    return onLoop(
+    return onEventLoop(
         () -> {
           version++;
           for (EndpointEntry entry : changed) {
@@ -185,7 +185,7 @@
 
   /** Drops all changes, as a restart without state does, so that older versions get full lists. */
   void dropHistory() {
-    onLoop(
+    onEventLoop(
         () -> {
           history.clear();
           oldestVersion = version;
@@ -196,7 +196,7 @@
 
   /** Creates a version without changes that balancers get as a full list; returns its number. */
   long resync() {
-    return onLoop(
+    return onEventLoop(
         () -> {
           version++;
           history.clear();
@@ -211,7 +211,7 @@
   }
 
   void setMode(Mode newMode) {
-    onLoop(
+    onEventLoop(
         () -> {
           mode = newMode;
           if (newMode != Mode.ANSWERING) {
@@ -227,18 +227,18 @@
 
   @Override
   public void close() {
-    onLoop(
+    onEventLoop(
         () -> {
           servers.forEach(Channel::close);
           List.copyOf(openChannels).forEach(FakeDiscoveryService::reset);
           releaseResponseBodies();
           return null;
         });
-    loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+    eventLoop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
 
-  private <T> T onLoop(Callable<T> task) {
-    return loop.submit(task).syncUninterruptibly().getNow();
+  private <T> T onEventLoop(Callable<T> task) {
+    return eventLoop.submit(task).syncUninterruptibly().getNow();
   }
 
   private void releaseResponseBodies() {
@@ -364,7 +364,7 @@
       if (sinceVersion == version && waitMillis > 0) {
         Watch newWatch = new Watch(ctx.channel(), addressIndex, sinceVersion);
         newWatch.timeout =
-            loop.schedule(() -> respond(newWatch), waitMillis, TimeUnit.MILLISECONDS);
+            eventLoop.schedule(() -> respond(newWatch), waitMillis, TimeUnit.MILLISECONDS);
         watch = newWatch;
         watches.add(newWatch);
       } else {
--- a/src/main/java/loadbalancer/benchmark/PhaseRecorder.java
+++ b/src/main/java/loadbalancer/benchmark/PhaseRecorder.java
@@ -104,9 +104,9 @@
     MeasuredPoint point = new MeasuredPoint("control", options.deployment.seed);
     writeParameters(point.parameters, phaseName);
     ObjectNode results = point.results;
-    double seconds = (System.nanoTime() - baseline.startNanos()) / NANOS_PER_SECOND;
+    double elapsedSeconds = (System.nanoTime() - baseline.startNanos()) / NANOS_PER_SECOND;
     int runningCount = fleet.runningCount();
-    results.put("seconds", MeasuredPoint.rounded(seconds));
+    results.put("seconds", MeasuredPoint.rounded(elapsedSeconds));
     results.put("running", runningCount);
     results.put("missing", outdatedCount);
     results.put("lists_taken", fleet.fullListsApplied() - baseline.fullLists());
@@ -121,10 +121,10 @@
         results.putObject("discovery"),
         baseline.simulatedTraffic(),
         FakeDiscoveryService.SIMULATED_BALANCERS,
-        seconds,
+        elapsedSeconds,
         runningCount);
     if (options.realBalancerCount > 0) {
-      writeRealBalancers(results.putObject("real_balancers"), baseline, seconds);
+      writeRealBalancers(results.putObject("real_balancers"), baseline, elapsedSeconds);
     }
     return point;
   }
@@ -144,7 +144,7 @@
         .put("keeps_history", options.keepHistory);
   }
 
-  private void writeRealBalancers(ObjectNode results, Baseline baseline, double seconds)
+  private void writeRealBalancers(ObjectNode results, Baseline baseline, double elapsedSeconds)
       throws IOException {
     realTimes.write(results.putObject("taking_in"));
     double cpuMillis = realCpuMillis() - baseline.realCpuMillis();
@@ -153,7 +153,7 @@
         results.putObject("discovery"),
         baseline.realTraffic(),
         FakeDiscoveryService.REAL_BALANCERS,
-        seconds,
+        elapsedSeconds,
         options.realBalancerCount);
   }
 
@@ -190,7 +190,7 @@
       ObjectNode results,
       DiscoveryTraffic.Snapshot baseline,
       int addressIndex,
-      double seconds,
+      double elapsedSeconds,
       int balancerCount) {
     DiscoveryTraffic.Snapshot current = discovery.traffic(addressIndex);
     for (Metric metric : Metric.values()) {
@@ -201,13 +201,13 @@
       if (metric == Metric.REQUESTS || metric == Metric.BYTES_IN || metric == Metric.BYTES_OUT) {
         results.put(
             metricKey + "_per_balancer_second",
-            MeasuredPoint.rounded(total / seconds / Math.max(1, balancerCount)));
+            MeasuredPoint.rounded(total / elapsedSeconds / Math.max(1, balancerCount)));
       }
       if (addressIndex == FakeDiscoveryService.SIMULATED_BALANCERS
           && (metric == Metric.REQUESTS || metric == Metric.BYTES_OUT)) {
-        ArrayNode eachSecond = results.putArray(metricKey + "_each_second");
-        for (long second : current.since(baseline, metric)) {
-          eachSecond.add(second);
+        ArrayNode countsBySecond = results.putArray(metricKey + "_each_second");
+        for (long countOfSecond : current.since(baseline, metric)) {
+          countsBySecond.add(countOfSecond);
         }
       }
     }
--- a/src/main/java/loadbalancer/benchmark/ProcessesCommand.java
+++ b/src/main/java/loadbalancer/benchmark/ProcessesCommand.java
@@ -59,7 +59,7 @@
       defaultValue = "5",
       description =
           "Number of full lists that discovery sends after the first (default ${DEFAULT-VALUE}).")
-  private int resyncs;
+  private int resyncCount;
 
   @Option(
       names = "--connections",
@@ -76,7 +76,7 @@
   public Integer call() throws IOException, InterruptedException {
     OptionValidator.requireEachBetween("--lists", listLengths, 1, MAX_LIST_LENGTH);
     OptionValidator.requireBetween("--count", balancerCount, 1, 64);
-    OptionValidator.requireBetween("--resyncs", resyncs, 0, 100);
+    OptionValidator.requireBetween("--resyncs", resyncCount, 0, 100);
     OptionValidator.requireEachBetween("--connections", connectionCounts, 0, 300);
     deployment.validate();
     BenchmarkMachine.requireCapacity(0, balancerCount);
@@ -93,7 +93,7 @@
         .parameters
         .put("list", listLength)
         .put("count", balancerCount)
-        .put("resyncs", resyncs)
+        .put("resyncs", resyncCount)
         .put("zones", deployment.zones)
         .put("tier", tier);
     List<EndpointEntry> entries = SyntheticDeployment.entries(listLength, deployment.zones);
@@ -137,12 +137,12 @@
     // First the totals before the resyncs, then the processor time per resync.
     double[] cpuMillis = readAll(balancers, BalancerProcess::cpuMillis);
     double slowestMillis = 0;
-    for (int i = 0; i < resyncs; i++) {
+    for (int i = 0; i < resyncCount; i++) {
       slowestMillis = Math.max(slowestMillis, resync(discovery, acknowledgements));
     }
     double[] cpuAfter = readAll(balancers, BalancerProcess::cpuMillis);
     for (int i = 0; i < cpuMillis.length; i++) {
-      cpuMillis[i] = (cpuAfter[i] - cpuMillis[i]) / Math.max(1, resyncs);
+      cpuMillis[i] = (cpuAfter[i] - cpuMillis[i]) / Math.max(1, resyncCount);
     }
     point.results.put("resync_slowest_ms", slowestMillis);
     MeasuredPoint.putSpread(point.results, "resync_cpu_ms", cpuMillis);
--- a/src/main/java/loadbalancer/benchmark/SimulatedBalancer.java
+++ b/src/main/java/loadbalancer/benchmark/SimulatedBalancer.java
@@ -98,7 +98,7 @@
 
   private final int instanceIndex;
   private final ProxyConfig config;
-  private final EventLoop loop;
+  private final EventLoop eventLoop;
   private final Listener listener;
   private final Clock clock = new Clock();
   private final LoadBalancingPolicy policy = new LatencyWeightedPolicy(this);
@@ -110,17 +110,17 @@
       Template template,
       int instanceIndex,
       long seed,
-      EventLoop loop,
+      EventLoop eventLoop,
       ByteBufAllocator allocator,
       Listener listener) {
     super("in a balancer without clients");
     this.instanceIndex = instanceIndex;
-    this.loop = loop;
+    this.eventLoop = eventLoop;
     this.listener = listener;
     config = template.forInstance(instanceIndex, seed);
     discovery =
         new DiscoveryClient(
-            loop,
+            eventLoop,
             config.discoverySettings(),
             allocator,
             this::onUpdate,
@@ -133,12 +133,12 @@
       Template template,
       int instanceIndex,
       long seed,
-      EventLoop loop,
+      EventLoop eventLoop,
       ByteBufAllocator allocator,
       Listener listener) {
     SimulatedBalancer balancer =
-        new SimulatedBalancer(template, instanceIndex, seed, loop, allocator, listener);
-    loop.execute(balancer::startPolicy);
+        new SimulatedBalancer(template, instanceIndex, seed, eventLoop, allocator, listener);
+    eventLoop.execute(balancer::startPolicy);
     return balancer;
   }
 
@@ -149,7 +149,7 @@
 
   /** Ends the watch and ignores all further events, without waiting for the event loop. */
   public void stop() {
-    loop.execute(
+    eventLoop.execute(
         () -> {
           stopped = true;
           discovery.watch(false);
@@ -191,7 +191,7 @@
 
   @Override
   public void scheduleTimer(long token, double atMillis) {
-    loop.schedule(
+    eventLoop.schedule(
         () -> enqueue(() -> policy.timerExpired(clock.now(), token)),
         clock.nanosUntil(atMillis),
         TimeUnit.NANOSECONDS);
--- a/src/main/java/loadbalancer/benchmark/SimulatedBalancerFleet.java
+++ b/src/main/java/loadbalancer/benchmark/SimulatedBalancerFleet.java
@@ -24,9 +24,9 @@
   private final SimulatedBalancer.Template template;
   private final long seed;
   private final PropagationTimes propagationTimes;
-  private final List<EventLoop> loops = new ArrayList<>();
+  private final List<EventLoop> eventLoops = new ArrayList<>();
   private final long[] threadIds;
-  private final MultiThreadIoEventLoopGroup group;
+  private final MultiThreadIoEventLoopGroup eventLoopGroup;
   private final SimulatedBalancer[] balancers;
 
   /** The version that each balancer has: 0 before its first list, -1 if it is not running. */
@@ -39,22 +39,26 @@
   SimulatedBalancerFleet(
       SimulatedBalancer.Template template,
       int count,
-      int loopCount,
+      int eventLoopCount,
       long seed,
       PropagationTimes propagationTimes) {
     this.template = template;
     this.seed = seed;
     this.propagationTimes = propagationTimes;
-    group =
+    eventLoopGroup =
         new MultiThreadIoEventLoopGroup(
-            loopCount,
+            eventLoopCount,
             new DefaultThreadFactory("simulated-balancers", true),
             NioIoHandler.newFactory());
-    threadIds = new long[loopCount];
-    for (int i = 0; i < loopCount; i++) {
-      loops.add((EventLoop) group.next());
+    threadIds = new long[eventLoopCount];
+    for (int i = 0; i < eventLoopCount; i++) {
+      eventLoops.add((EventLoop) eventLoopGroup.next());
       threadIds[i] =
-          loops.get(i).submit(() -> Thread.currentThread().getId()).syncUninterruptibly().getNow();
+          eventLoops
+              .get(i)
+              .submit(() -> Thread.currentThread().getId())
+              .syncUninterruptibly()
+              .getNow();
     }
     balancers = new SimulatedBalancer[count];
     versions = new AtomicLongArray(count);
@@ -73,7 +77,7 @@
                 template,
                 i,
                 seed + i,
-                loops.get(i % loops.size()),
+                eventLoops.get(i % eventLoops.size()),
                 PooledByteBufAllocator.DEFAULT,
                 this::onUpdateApplied);
       }
@@ -167,6 +171,6 @@
   @Override
   public void close() {
     stop(index -> true);
-    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+    eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
 }
--- a/src/main/java/loadbalancer/benchmark/VirtualTimePolicyRun.java
+++ b/src/main/java/loadbalancer/benchmark/VirtualTimePolicyRun.java
@@ -38,7 +38,7 @@
   private final PolicySettings settings;
   private final LoadBalancingPolicy policy;
   private final SplittableRandom random;
-  private final double gapMillis;
+  private final double eventIntervalMillis;
   private final ArrayDeque<SentAttempt> inFlight = new ArrayDeque<>();
   private final ArrayDeque<Long> timerTokens = new ArrayDeque<>();
   private double nowMillis = 1e9;
@@ -57,7 +57,7 @@
     super("in a run in which all requests succeed");
     this.settings = settings;
     this.endpoints = endpoints;
-    gapMillis = MILLIS_PER_SECOND / requestsPerSecond;
+    eventIntervalMillis = MILLIS_PER_SECOND / requestsPerSecond;
     random = new SplittableRandom(seed);
     policy = new LatencyWeightedPolicy(this);
     policy.start(nowMillis, settings, seed);
@@ -105,7 +105,7 @@
 
   /** Delivers a request, after the responses that are due before it. */
   void handleRequest() {
-    nowMillis += gapMillis;
+    nowMillis += eventIntervalMillis;
     while (!inFlight.isEmpty() && inFlight.peekFirst().responseMillis() <= nowMillis) {
       SentAttempt attempt = inFlight.pollFirst();
       policy.attemptFinished(
@@ -141,7 +141,7 @@
 
   /** Delivers a delta in which an endpoint begins to drain, or the draining one is ready again. */
   void changeOneEndpoint() {
-    nowMillis += gapMillis;
+    nowMillis += eventIntervalMillis;
     if (drainingIndex < 0) {
       drainingIndex = random.nextInt(endpoints.size());
       policy.endpointsChanged(
@@ -157,13 +157,13 @@
 
   /** Delivers the empty delta of a watch that ended without changes. */
   void emptyUpdate() {
-    nowMillis += gapMillis;
+    nowMillis += eventIntervalMillis;
     policy.endpointsChanged(nowMillis, EndpointUpdateType.DELTA, List.of());
   }
 
   /** Delivers the full list, as after a resync. */
   void fullList() {
-    nowMillis += gapMillis;
+    nowMillis += eventIntervalMillis;
     policy.endpointsChanged(nowMillis, EndpointUpdateType.FULL, endpoints);
   }
 
--- a/src/main/java/loadbalancer/settings/SettingsParser.java
+++ b/src/main/java/loadbalancer/settings/SettingsParser.java
@@ -93,34 +93,35 @@
   public static PolicySettings parse(byte[] text) {
     try {
       String decoded = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(text)).toString();
-      return new SettingsParser(decoded).settings();
+      return new SettingsParser(decoded).parseSettings();
     } catch (CharacterCodingException e) {
-      throw new MalformedInputException("the settings are not UTF-8");
+      throw new MalformedInputException("the settings are not valid UTF-8");
     }
   }
 
-  private PolicySettings settings() {
-    text("services.count"); // Required, whereas items() takes a missing count for an empty list.
+  private PolicySettings parseSettings() {
+    // Fails if absent, whereas parseItems() takes a missing count for an empty list.
+    requiredText("services.count");
     int instanceIndex = integer("position");
     int instanceCount = integer("siblings");
     int tier = integer("tier");
     requirePresent("stages");
     int zone = integer("zone");
     requirePresent("zones");
-    int machineTypeCount = Math.max(1, names("machineTypes").size());
+    int machineTypeCount = Math.max(1, commaSeparated("machineTypes").size());
     boolean explicitWatch = choice("registryMode", EXPLICIT_WATCH);
     validateUpstreamAndClientHints();
     boolean priorityByWork = choice("worthBy", PRIORITY_BY_WORK);
     requireNumberIfPresent("overShareWorth");
     requireOneOf("weightKind", Set.of("silent", "nominal", "rough", "live"));
     LoadReportMode loadReportMode = choice("stats.how", LOAD_REPORT_MODES);
-    List<String> loadReportFields = names("stats.fields");
-    List<RequestClass> requestClasses = items("services", this::requestClass);
-    List<Tenant> tenants = items("tenants", this::tenant);
-    LimitSettings limits = limits();
-    RuleSettings rules = rules();
-    double worstClassWeight = worstClassWeight();
-    CostSettings costs = costs();
+    List<String> loadReportFields = commaSeparated("stats.fields");
+    List<RequestClass> requestClasses = parseItems("services", this::parseRequestClass);
+    List<Tenant> tenants = parseItems("tenants", this::parseTenant);
+    LimitSettings limits = parseLimits();
+    RuleSettings rules = parseRules();
+    double worstClassWeight = parseGoal();
+    CostSettings costs = parseCosts();
     return new PolicySettings(
         instanceIndex,
         instanceCount,
@@ -145,13 +146,13 @@
     requireBoolIfPresent("callers.marksRetry");
   }
 
-  private RequestClass requestClass(String keyPrefix) {
+  private RequestClass parseRequestClass(String keyPrefix) {
     Idempotency idempotency = choice(keyPrefix + "idempotency", IDEMPOTENCIES);
     boolean deduplicated = idempotency == Idempotency.DEDUPLICATED;
     DeduplicationScope scope =
         deduplicated ? choice(keyPrefix + "group", DEDUPLICATION_SCOPES) : DeduplicationScope.ALL;
     return new RequestClass(
-        text(keyPrefix + "name"),
+        requiredText(keyPrefix + "name"),
         number(keyPrefix + "aim"),
         number(keyPrefix + "aimStretch", 0),
         number(keyPrefix + "deadline"),
@@ -166,14 +167,14 @@
         indices(keyPrefix + "boundTo"));
   }
 
-  private Tenant tenant(String keyPrefix) {
-    String name = text(keyPrefix + "name");
+  private Tenant parseTenant(String keyPrefix) {
+    String name = requiredText(keyPrefix + "name");
     requireNumber(keyPrefix + "fraction");
     requireNumber(keyPrefix + "quotaPerS");
     return new Tenant(name);
   }
 
-  private LimitSettings limits() {
+  private LimitSettings parseLimits() {
     int maxAttempts = integer("limits.attemptsCap");
     requireInteger("limits.maxOpen");
     boolean cancellation = bool("limits.cancel");
@@ -197,7 +198,7 @@
         idleTimeoutMillis);
   }
 
-  private RuleSettings rules() {
+  private RuleSettings parseRules() {
     double responseGraceMillis = number("rules.graceToAnswer");
     double drainGraceMillis = number("rules.drainGrace");
     double pollIntervalMillis = number("rules.askEvery");
@@ -216,7 +217,10 @@
         keySettleMillis);
   }
 
-  private double worstClassWeight() {
+  /**
+   * Validates the weights of the platform's score; only that of the worst request class is used.
+   */
+  private double parseGoal() {
     requireNumber("goal.whole");
     requireNumber("goal.worstWindow");
     double worstClassWeight = number("goal.worstClass");
@@ -228,7 +232,7 @@
     return worstClassWeight;
   }
 
-  private CostSettings costs() {
+  private CostSettings parseCosts() {
     double crossZoneCost = number("prices.crossZone");
     requireNumber("prices.probe");
     requireNumber("prices.waste");
@@ -244,7 +248,7 @@
   // them are reported too.
 
   private void requirePresent(String key) {
-    text(key);
+    requiredText(key);
   }
 
   private void requireNumber(String key) {
@@ -268,12 +272,12 @@
   }
 
   private void requireOneOf(String key, Set<String> accepted) {
-    if (!accepted.contains(text(key))) {
+    if (!accepted.contains(requiredText(key))) {
       throw invalid(key, "one of " + new TreeSet<>(accepted));
     }
   }
 
-  private String text(String key) {
+  private String requiredText(String key) {
     String value = values.get(key);
     if (value == null) {
       throw new MalformedInputException("setting " + key + " is missing");
@@ -284,7 +288,7 @@
   /** Returns the finite number that a required setting holds. */
   private double number(String key) {
     try {
-      double value = Double.parseDouble(text(key));
+      double value = Double.parseDouble(requiredText(key));
       if (Double.isFinite(value)) {
         return value;
       }
@@ -300,7 +304,7 @@
 
   private int integer(String key) {
     try {
-      return Integer.parseInt(text(key));
+      return Integer.parseInt(requiredText(key));
     } catch (NumberFormatException e) {
       throw invalid(key, "a 32-bit integer");
     }
@@ -315,15 +319,15 @@
   }
 
   private <T> T choice(String key, Map<String, T> choices) {
-    T value = choices.get(text(key));
+    T value = choices.get(requiredText(key));
     if (value == null) {
       throw invalid(key, "one of " + new TreeSet<>(choices.keySet()));
     }
     return value;
   }
 
-  private List<String> names(String key) {
-    String value = text(key);
+  private List<String> commaSeparated(String key) {
+    String value = requiredText(key);
     return value.isEmpty() ? List.of() : List.of(value.split(","));
   }
 
@@ -336,7 +340,7 @@
       return null;
     }
     List<Integer> indices = new ArrayList<>();
-    for (String index : names(key)) {
+    for (String index : commaSeparated(key)) {
       try {
         indices.add(Integer.parseUnsignedInt(index));
       } catch (NumberFormatException e) {
@@ -347,7 +351,7 @@
   }
 
   /** Parses the items of a list; the parser receives the prefix of an item's keys. */
-  private <T> List<T> items(String listKey, Function<String, T> itemParser) {
+  private <T> List<T> parseItems(String listKey, Function<String, T> itemParser) {
     // A configuration without tenants has no tenants.count either.
     int count = values.containsKey(listKey + ".count") ? integer(listKey + ".count") : 0;
     if (count < 0 || count > MAX_LIST_ITEMS) {
@@ -362,6 +366,11 @@
 
   private MalformedInputException invalid(String key, String expected) {
     return new MalformedInputException(
-        "setting " + key + " has the invalid value '" + text(key) + "', expected " + expected);
+        "setting "
+            + key
+            + " has the invalid value '"
+            + requiredText(key)
+            + "', expected "
+            + expected);
   }
 }
--- a/src/main/java/loadbalancer/simulation/FrameBody.java
+++ b/src/main/java/loadbalancer/simulation/FrameBody.java
@@ -59,12 +59,12 @@
   /**
    * Returns a finite double.
    *
-   * @param name what the value is, for the message of the exception
+   * @param valueName what the value is, for the message of the exception
    */
-  double finiteDouble(int offset, String name) {
+  double finiteDouble(int offset, String valueName) {
     double value = LittleEndian.getDouble(body, offset);
     if (!Double.isFinite(value)) {
-      throw new MalformedInputException(name + " is not finite: " + value);
+      throw new MalformedInputException(valueName + " is not finite: " + value);
     }
     return value;
   }
