--- a/src/main/java/loadbalancer/policy/DiscoveryRefresh.java
+++ b/src/main/java/loadbalancer/policy/DiscoveryRefresh.java
@@ -27,7 +27,10 @@
    */
   private static final double MAX_BACKOFF_DRAIN_GRACE_SHARE = 0.25;
 
-  /** Longest backoff: updates count as notified soon after discovery can be reached again. */
+  /**
+   * Longest backoff: the platform counts an update as notified at the latest 6 s after discovery
+   * had it and could be reached, even if it has not arrived.
+   */
   private static final double MAX_BACKOFF_MILLIS = 1_000;
 
   /**
--- a/src/main/java/loadbalancer/policy/PolicyActions.java
+++ b/src/main/java/loadbalancer/policy/PolicyActions.java
@@ -6,7 +6,7 @@
  */
 public interface PolicyActions {
 
-  /** Peer index that stands for all other instances of the tier. */
+  /** Peer index of a message to all other instances of the tier. */
   int ALL_PEERS = -1;
 
   /**
--- a/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -167,9 +167,8 @@
         harness.request(i, 1);
         harness.advance(1);
       }
-      // An endpoint is expected to take 200 ms for five concurrent attempts, so 25 attempts in
-      // flight
-      // would take the whole objective of 1000 ms.
+      // An endpoint is expected to take 200 ms for five concurrent attempts. With 25 in flight,
+      // the queueing delay would be the whole objective of 1000 ms.
       int sentOfClass1 = harness.sentAttempts.size();
       for (int i = 100; i < 200; i++) {
         harness.request(i, 0);
--- a/src/test/java/loadbalancer/policy/KeyedRequestQueueTest.java
+++ b/src/test/java/loadbalancer/policy/KeyedRequestQueueTest.java
@@ -73,9 +73,8 @@
     for (int i = 1; i <= 20; i++) {
       harness.orderedRequest(i, 0, 7);
     }
-    // The initial expected latency is 200 ms and the objective 1000 ms, so about five requests can
-    // be
-    // served in time.
+    // The initial expected latency is 200 ms and the objective 1000 ms, so about five requests
+    // can be served in time.
     assertEquals(1, harness.sentAttempts.size());
     assertTrue(
         harness.rejected.size() > 10 && harness.rejected.size() < 18,
--- a/src/test/java/loadbalancer/policy/PolicyHarness.java
+++ b/src/test/java/loadbalancer/policy/PolicyHarness.java
@@ -84,7 +84,16 @@
   void request(long id, int requestClass, double deadlineMillis, double costMillis, long key) {
     open.add(id);
     policy.requestArrived(
-        now, new ClientRequest(id, requestClass, 0, key, deadlineMillis, costMillis, false, false));
+        now,
+        new ClientRequest(
+            id,
+            requestClass,
+            /* tenant= */ 0,
+            key,
+            deadlineMillis,
+            costMillis,
+            /* retry= */ false,
+            /* write= */ false));
   }
 
   /** Sends a request that its client has marked as a retry. */
@@ -95,12 +104,12 @@
         new ClientRequest(
             id,
             requestClass,
-            0,
-            id,
+            /* tenant= */ 0,
+            /* key= */ id,
             now + settings.requestClasses().get(requestClass).deadlineMillis(),
-            0,
-            true,
-            false));
+            /* costMillis= */ 0,
+            /* retry= */ true,
+            /* write= */ false));
   }
 
   /** Sends a request with an ordering key and the deadline of its class. */
--- a/src/test/java/loadbalancer/policy/RetryAndHedgingTest.java
+++ b/src/test/java/loadbalancer/policy/RetryAndHedgingTest.java
@@ -124,8 +124,8 @@
         harness.finish(harness.lastAttempt(), AttemptOutcome.ERROR);
       }
     }
-    // Without overload a hedge would follow after three times the initial expected latency of 200
-    // ms.
+    // Without overload a hedge would be sent after 600 ms, which is three times the initial
+    // expected latency.
     int sentBefore = harness.sentAttempts.size();
     for (int i = 60; harness.sentAttempts.size() == sentBefore; i++) {
       harness.request(i, 0);
--- a/src/test/java/loadbalancer/policy/TestSettings.java
+++ b/src/test/java/loadbalancer/policy/TestSettings.java
@@ -191,9 +191,9 @@
               new RequestClass(
                   "first",
                   OBJECTIVE_MILLIS,
-                  0,
+                  /* objectivePerCost= */ 0,
                   DEADLINE_MILLIS,
-                  5,
+                  /* priorityWeight= */ 5,
                   lateResponseValue,
                   idempotency,
                   deduplicationScope,
@@ -205,33 +205,47 @@
               new RequestClass(
                   "second",
                   OBJECTIVE_MILLIS,
-                  0,
+                  /* objectivePerCost= */ 0,
                   DEADLINE_MILLIS,
-                  1,
+                  /* priorityWeight= */ 1,
                   lateResponseValue,
                   idempotency,
                   deduplicationScope,
                   deduplicationWindowMillis,
                   streamed,
                   orderedByKey,
-                  null,
-                  null));
+                  /* allowedZones= */ null,
+                  /* allowedMachineTypes= */ null));
       return new PolicySettings(
           instanceIndex,
           instanceCount,
           tier,
-          0,
-          2,
+          /* zone= */ 0,
+          /* machineTypeCount= */ 2,
           explicitWatch,
-          false,
-          0.2,
+          /* priorityByWork= */ false,
+          /* worstClassWeight= */ 0.2,
           LoadReportMode.NONE,
-          List.of(),
+          /* loadReportFields= */ List.of(),
           classes,
-          List.of(),
-          new LimitSettings(4, true, parallelAttempts, true, 2_000, 100, 30_000),
-          new RuleSettings(20, drainGraceMillis, pollIntervalMillis, 0.2, 10_000, 3, 100),
-          new CostSettings(crossZoneCost, connectionCost, 0));
+          /* tenants= */ List.of(),
+          new LimitSettings(
+              /* maxAttempts= */ 4,
+              /* cancellation= */ true,
+              parallelAttempts,
+              /* retryAfterAdvice= */ true,
+              /* maxRetryAfterMillis= */ 2_000,
+              /* connectTimeoutMillis= */ 100,
+              /* idleTimeoutMillis= */ 30_000),
+          new RuleSettings(
+              /* responseGraceMillis= */ 20,
+              drainGraceMillis,
+              pollIntervalMillis,
+              /* initialCapacity= */ 0.2,
+              /* warmUpMillis= */ 10_000,
+              /* collapseMultiple= */ 3,
+              /* keySettleMillis= */ 100),
+          new CostSettings(crossZoneCost, connectionCost, /* handshakeCost= */ 0));
     }
   }
 }
