--- a/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -44,7 +44,7 @@
 
   /** Counts an arriving request and decides whether to reject it immediately. */
   boolean shouldReject(InFlightRequest request) {
-    RequestClassStatistics arrivingClass = request.statistics();
+    RequestClassStatistics arrivingClass = request.classStatistics();
     for (RequestClassStatistics requestClass : requestClasses) {
       requestClass.updateTrafficShare(requestClass == arrivingClass);
     }
@@ -62,7 +62,7 @@
    * retry.
    */
   private static double rejectionProbability(InFlightRequest request) {
-    RequestClassStatistics requestClass = request.statistics();
+    RequestClassStatistics requestClass = request.classStatistics();
     double clientRetryShare = requestClass.clientRetryShare();
     double clientRetryProbability =
         Math.min(
@@ -87,7 +87,7 @@
         Math.min(
             limits.maxRetryAfterMillis(),
             MAX_RETRY_AFTER_OBJECTIVE_SHARE * request.requestClass().latencyObjectiveMillis());
-    double overloadLevel = request.statistics().placementGroup().overload().level();
+    double overloadLevel = request.classStatistics().placementGroup().overload().level();
     return Math.min(
         maxRetryAfterMillis,
         PendingRequests.SELECTION_INTERVAL_MILLIS + maxRetryAfterMillis * overloadLevel);
@@ -143,6 +143,6 @@
   }
 
   private static OverloadDetector overloadOf(Attempt attempt) {
-    return attempt.request().statistics().placementGroup().overload();
+    return attempt.request().classStatistics().placementGroup().overload();
   }
 }
--- a/src/main/java/loadbalancer/policy/AttemptEvidence.java
+++ b/src/main/java/loadbalancer/policy/AttemptEvidence.java
@@ -24,7 +24,7 @@
     if (outcome == AttemptOutcome.NOT_SENT || cancelledEarly) {
       return;
     }
-    RequestClassStatistics type = attempt.request().statistics();
+    RequestClassStatistics type = attempt.request().classStatistics();
     attempt.endpoint().decay(now);
     attempt.endpoint().recordOutcome(type.index(), outcome == AttemptOutcome.OK);
     if (outcome == AttemptOutcome.OK) {
@@ -38,7 +38,7 @@
 
   /** Records the time to the response, or to the start of a streamed one. */
   static void recordLatency(Attempt attempt, double elapsedMillis) {
-    RequestClassStatistics type = attempt.request().statistics();
+    RequestClassStatistics type = attempt.request().classStatistics();
     EndpointStatistics endpoint = attempt.endpoint();
     double atMeanCost =
         Math.max(MIN_LATENCY_MILLIS, elapsedMillis) / attempt.request().latencyFactor();
--- a/src/main/java/loadbalancer/policy/EndpointCost.java
+++ b/src/main/java/loadbalancer/policy/EndpointCost.java
@@ -104,7 +104,7 @@
       double attemptsPerEndpoint,
       double now) {
     endpoint.decay(now);
-    double successRate = endpoint.successRate(request.statistics().index());
+    double successRate = endpoint.successRate(request.classStatistics().index());
     double cost = latencyWithFailuresMillis(endpoint, request, successRate);
     cost *= failureFactor(successRate);
     cost *= 1 + COST_INCREASE_PER_ATTEMPT_IN_FLIGHT * endpoint.inFlightCount();
@@ -126,7 +126,7 @@
    */
   private static double latencyWithFailuresMillis(
       EndpointStatistics endpoint, InFlightRequest request, double successRate) {
-    return endpoint.relativeLatency() * request.statistics().latencyMillis()
+    return endpoint.relativeLatency() * request.classStatistics().latencyMillis()
         + request.requestClass().latencyObjectiveMillis()
             * (1 / Math.max(MIN_SUCCESS_RATE, successRate) - 1);
   }
@@ -188,7 +188,7 @@
       double cost, EndpointStatistics endpoint, InFlightRequest request) {
     double increased = cost;
     for (PlacementGroup group : placementGroups) {
-      if (group != request.statistics().placementGroup()
+      if (group != request.classStatistics().placementGroup()
           && group.isRestricted()
           && group.allows(endpoint.listedEndpoint())) {
         increased *=
--- a/src/main/java/loadbalancer/policy/HedgingPolicy.java
+++ b/src/main/java/loadbalancer/policy/HedgingPolicy.java
@@ -41,7 +41,7 @@
 
   /** Time after its send at which an attempt of this request is slow. */
   static double slowAfterMillis(InFlightRequest request) {
-    return request.expectedLatencyMillis() * request.statistics().slowRatio();
+    return request.expectedLatencyMillis() * request.classStatistics().slowRatio();
   }
 
   /**
@@ -88,7 +88,7 @@
         && request.attempts().size() == attemptNumber + 1
         && request.attempts().get(attemptNumber).isRunning()
         && retryBudget.hasToken()
-        && request.statistics().placementGroup().overload().level() < OVERLOAD_LIMIT
+        && request.classStatistics().placementGroup().overload().level() < OVERLOAD_LIMIT
         && request.usefulUntilMillis() - now > request.expectedLatencyMillis();
   }
 
--- a/src/main/java/loadbalancer/policy/InFlightRequest.java
+++ b/src/main/java/loadbalancer/policy/InFlightRequest.java
@@ -17,7 +17,7 @@
 
   private final ClientRequest clientRequest;
   private final RequestClass requestClass;
-  private final RequestClassStatistics statistics;
+  private final RequestClassStatistics classStatistics;
   private final long id;
   private final double arrivedAtMillis;
   private final double usefulUntilMillis;
@@ -36,10 +36,10 @@
   private boolean streaming;
 
   InFlightRequest(
-      ClientRequest clientRequest, RequestClassStatistics statistics, double arrivedAtMillis) {
+      ClientRequest clientRequest, RequestClassStatistics classStatistics, double arrivedAtMillis) {
     this.clientRequest = clientRequest;
-    this.statistics = statistics;
-    this.requestClass = statistics.requestClass();
+    this.classStatistics = classStatistics;
+    this.requestClass = classStatistics.requestClass();
     this.id = clientRequest.id();
     this.arrivedAtMillis = arrivedAtMillis;
     this.usefulUntilMillis = computeUsefulUntilMillis(clientRequest, requestClass, arrivedAtMillis);
@@ -70,9 +70,8 @@
     return requestClass;
   }
 
-  /** The statistics of its class. */
-  RequestClassStatistics statistics() {
-    return statistics;
+  RequestClassStatistics classStatistics() {
+    return classStatistics;
   }
 
   long id() {
@@ -153,7 +152,7 @@
 
   /** Its cost estimate relative to the mean of its class; 1 if either is unknown. */
   double relativeCost() {
-    double meanCostMillis = statistics.meanCostMillis();
+    double meanCostMillis = classStatistics.meanCostMillis();
     return clientRequest.costMillis() > 0 && meanCostMillis > 0
         ? clientRequest.costMillis() / meanCostMillis
         : 1;
@@ -166,7 +165,7 @@
 
   /** Its expected latency on an average endpoint. */
   double expectedLatencyMillis() {
-    return statistics.latencyMillis() * latencyFactor();
+    return classStatistics.latencyMillis() * latencyFactor();
   }
 
   /** Whether an attempt has been sent to the endpoint. */
--- a/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
+++ b/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
@@ -141,7 +141,8 @@
   // ---- Attempts
 
   private void send(InFlightRequest request, EndpointStatistics endpoint, double now) {
-    double rejectedShareAtSend = request.statistics().placementGroup().overload().rejectedShare();
+    double rejectedShareAtSend =
+        request.classStatistics().placementGroup().overload().rejectedShare();
     Attempt attempt = new Attempt(request, endpoint, now, rejectedShareAtSend);
     double timeoutMillis = request.usefulUntilMillis() - now;
     if (hedgingPolicy.isHedgeable(request, timeoutMillis)) {
--- a/src/main/java/loadbalancer/policy/PendingRequests.java
+++ b/src/main/java/loadbalancer/policy/PendingRequests.java
@@ -72,7 +72,7 @@
    */
   boolean maySelect(InFlightRequest request, double now) {
     double selectionAtMillis =
-        Math.min(request.statistics().nextSelectionAtMillis(), request.queuedUntilMillis());
+        Math.min(request.classStatistics().nextSelectionAtMillis(), request.queuedUntilMillis());
     if (now < selectionAtMillis) {
       actions.scheduleTimer(TimerToken.queue(request.id()), selectionAtMillis);
       return false;
@@ -82,6 +82,6 @@
 
   /** Postpones the selections of a class after one of its queued requests found no endpoint. */
   static void selectionFailed(InFlightRequest request, double now) {
-    request.statistics().setNextSelectionAtMillis(now + SELECTION_INTERVAL_MILLIS);
+    request.classStatistics().setNextSelectionAtMillis(now + SELECTION_INTERVAL_MILLIS);
   }
 }
--- a/src/main/java/loadbalancer/policy/QueueingLimit.java
+++ b/src/main/java/loadbalancer/policy/QueueingLimit.java
@@ -31,7 +31,7 @@
     for (RequestClassStatistics type : classes) {
       highest = Math.max(highest, value.valuePerWork(type));
     }
-    double relativeValue = value.valuePerWork(request.statistics()) / highest;
+    double relativeValue = value.valuePerWork(request.classStatistics()) / highest;
     return (MIN_TIME_SHARE + (1 - MIN_TIME_SHARE) * relativeValue)
         * (request.usefulUntilMillis() - now);
   }
