--- a/src/main/java/loadbalancer/policy/AttemptRecorder.java
+++ b/src/main/java/loadbalancer/policy/AttemptRecorder.java
@@ -29,7 +29,7 @@
     if (outcome == AttemptOutcome.NOT_SENT || cancelledEarly) {
       return;
     }
-    RequestClassStatistics classStatistics = attempt.request().statistics();
+    RequestClassStatistics classStatistics = attempt.request().classStatistics();
     attempt.endpoint().decay(now);
     attempt.endpoint().recordOutcome(classStatistics.index(), outcome == AttemptOutcome.OK);
     if (outcome == AttemptOutcome.OK) {
@@ -43,7 +43,7 @@
 
   /** Records the time from the send to the response, or to the start of a streamed response. */
   static void recordLatency(Attempt attempt, double elapsedMillis) {
-    RequestClassStatistics classStatistics = attempt.request().statistics();
+    RequestClassStatistics classStatistics = attempt.request().classStatistics();
     EndpointStatistics endpoint = attempt.endpoint();
     double latencyAtMeanCost =
         Math.max(MIN_LATENCY_MILLIS, elapsedMillis) / attempt.request().latencyFactor();
--- a/src/main/java/loadbalancer/policy/QueueingLimit.java
+++ b/src/main/java/loadbalancer/policy/QueueingLimit.java
@@ -39,7 +39,7 @@
     for (RequestClassStatistics classStatistics : classes) {
       maxValuePerWork = Math.max(maxValuePerWork, value.valuePerWork(classStatistics));
     }
-    double relativeValue = value.valuePerWork(request.statistics()) / maxValuePerWork;
+    double relativeValue = value.valuePerWork(request.classStatistics()) / maxValuePerWork;
     return (MIN_REMAINING_TIME_SHARE + (1 - MIN_REMAINING_TIME_SHARE) * relativeValue)
         * (request.usefulUntilMillis() - now);
   }
