--- a/src/main/java/loadbalancer/policy/EndpointCost.java
+++ b/src/main/java/loadbalancer/policy/EndpointCost.java
@@ -151,12 +151,12 @@
    * before the attempts at it time out.
    */
   private static double overdueCostMillis(EndpointStatistics endpoint, double now) {
-    Attempt oldest = endpoint.oldestInFlight();
-    if (oldest == null) {
+    Attempt oldestAttempt = endpoint.oldestInFlight();
+    if (oldestAttempt == null) {
       return 0;
     }
     double overdueMillis =
-        now - oldest.sentAtMillis() - HedgingPolicy.slowAfterMillis(oldest.request());
+        now - oldestAttempt.sentAtMillis() - HedgingPolicy.slowAfterMillis(oldestAttempt.request());
     return COST_PER_OVERDUE_MILLI * Math.max(0, overdueMillis);
   }
 
--- a/src/main/java/loadbalancer/policy/EndpointList.java
+++ b/src/main/java/loadbalancer/policy/EndpointList.java
@@ -31,16 +31,16 @@
   }
 
   /**
-   * Applies an update from discovery: a whole list or the endpoints that changed. Draining and
+   * Applies an update from discovery: the whole list, or the endpoints that changed. Draining and
    * removed endpoints are no longer ready from then on.
    */
-  void update(EndpointUpdateType type, List<Endpoint> updates, double now) {
-    Map<Long, EndpointStatistics> previous = new LinkedHashMap<>(endpoints);
-    if (type != EndpointUpdateType.DELTA) {
+  void update(EndpointUpdateType updateType, List<Endpoint> updates, double now) {
+    Map<Long, EndpointStatistics> previousEndpoints = new LinkedHashMap<>(endpoints);
+    if (updateType != EndpointUpdateType.DELTA) {
       endpoints.clear();
     }
     for (Endpoint update : updates) {
-      apply(update, previous.get(update.id()), now);
+      apply(update, previousEndpoints.get(update.id()), now);
     }
     ready =
         endpoints.values().stream()
--- a/src/main/java/loadbalancer/policy/EndpointSelector.java
+++ b/src/main/java/loadbalancer/policy/EndpointSelector.java
@@ -101,11 +101,11 @@
   private static EndpointStatistics endpointAt(
       List<EndpointStatistics> readyEndpoints, double cumulativeWeight) {
     EndpointStatistics selected = null;
-    double remaining = cumulativeWeight;
+    double remainingWeight = cumulativeWeight;
     for (EndpointStatistics endpoint : readyEndpoints) {
-      if (endpoint.weight() > 0 && remaining >= 0) {
+      if (endpoint.weight() > 0 && remainingWeight >= 0) {
         selected = endpoint;
-        remaining -= endpoint.weight();
+        remainingWeight -= endpoint.weight();
       }
     }
     return selected;
--- a/src/main/java/loadbalancer/policy/EndpointSubset.java
+++ b/src/main/java/loadbalancer/policy/EndpointSubset.java
@@ -42,14 +42,14 @@
   void update(List<EndpointStatistics> readyEndpoints) {
     stride = (int) Math.max(1, readyEndpoints.size() / TARGET_SIZE);
     long round = instanceIndex / stride;
-    List<EndpointStatistics> ordered = new ArrayList<>(readyEndpoints);
-    ordered.forEach(endpoint -> endpoint.setWeight(shuffleKey(endpoint, round)));
-    ordered.sort(
+    List<EndpointStatistics> orderedEndpoints = new ArrayList<>(readyEndpoints);
+    orderedEndpoints.forEach(endpoint -> endpoint.setWeight(shuffleKey(endpoint, round)));
+    orderedEndpoints.sort(
         Comparator.<EndpointStatistics>comparingInt(endpoint -> endpoint.listedEndpoint().zone())
             .thenComparingInt(endpoint -> endpoint.listedEndpoint().machineType())
             .thenComparingDouble(EndpointStatistics::weight));
-    for (int i = 0; i < ordered.size(); i++) {
-      ordered.get(i).setInSubset((i + instanceIndex) % stride == 0);
+    for (int i = 0; i < orderedEndpoints.size(); i++) {
+      orderedEndpoints.get(i).setInSubset((i + instanceIndex) % stride == 0);
     }
   }
 
--- a/src/main/java/loadbalancer/policy/PlacementGroup.java
+++ b/src/main/java/loadbalancer/policy/PlacementGroup.java
@@ -52,9 +52,9 @@
         .orElse(classStatistics);
   }
 
-  private static boolean samePlacement(RequestClass one, RequestClass other) {
-    return Objects.equals(one.allowedZones(), other.allowedZones())
-        && Objects.equals(one.allowedMachineTypes(), other.allowedMachineTypes());
+  private static boolean samePlacement(RequestClass first, RequestClass second) {
+    return Objects.equals(first.allowedZones(), second.allowedZones())
+        && Objects.equals(first.allowedMachineTypes(), second.allowedMachineTypes());
   }
 
   RequestClassStatistics[] classes() {
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -145,15 +145,15 @@
       endpoint.spendWarmUpBudget(
           endpoint.weight() > 0 ? probabilityPerWeight * endpoint.weight() : 0);
     }
-    EndpointStatistics due =
+    EndpointStatistics dueEndpoint =
         warming.stream()
             .filter(endpoint -> endpoint.accumulatedProbability() >= 1)
             .max(Comparator.comparingDouble(EndpointStatistics::accumulatedProbability))
             .orElse(null);
-    if (due != null) {
-      due.subtractAttempt();
+    if (dueEndpoint != null) {
+      dueEndpoint.subtractAttempt();
     }
-    return due;
+    return dueEndpoint;
   }
 
   /**
