--- a/src/main/java/loadbalancer/model/RequestClass.java
+++ b/src/main/java/loadbalancer/model/RequestClass.java
@@ -9,7 +9,7 @@
  * @param latencyObjectiveMillis a response within this time has its full value
  * @param objectivePerCost milliseconds by which the objective grows for each millisecond of the
  *     request's own cost estimate
- * @param deadlineMillis time for which a client waits, including all its retries
+ * @param deadlineMillis time for which a client waits for a response, including all its retries
  * @param priorityWeight value of a response within the objective
  * @param lateResponseValue value of a response after the objective, as a share of the priority
  *     weight
--- a/src/main/java/loadbalancer/model/RuleSettings.java
+++ b/src/main/java/loadbalancer/model/RuleSettings.java
@@ -6,8 +6,8 @@
  * @param responseGraceMillis time after its deadline in which a request may still get its response
  * @param drainGraceMillis time after the notification in which a draining endpoint still accepts
  *     requests
- * @param pollIntervalMillis interval from which the backoff after failed calls to discovery is
- *     derived, and the time after which a suspect endpoint list counts as stale
+ * @param pollIntervalMillis interval from which two times are derived: the backoff after failed
+ *     calls to discovery, and the age at which a suspect endpoint list counts as stale
  * @param initialCapacity share of its full capacity that an endpoint has when it starts
  * @param warmUpMillis time in which that share grows linearly to 1
  * @param collapseMultiple a load of this multiple of its present capacity makes an endpoint that is
--- a/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -45,8 +45,8 @@
   /** Counts an arriving request and decides whether to reject it immediately. */
   boolean shouldReject(InFlightRequest request) {
     RequestClassStatistics arrivingClass = request.classStatistics();
-    for (RequestClassStatistics requestClass : requestClasses) {
-      requestClass.updateTrafficShare(requestClass == arrivingClass);
+    for (RequestClassStatistics classStatistics : requestClasses) {
+      classStatistics.updateTrafficShare(classStatistics == arrivingClass);
     }
     if (arrivingClass.placementGroup().overload().level() == 0) {
       return false;
@@ -62,16 +62,17 @@
    * retry.
    */
   private static double rejectionProbability(InFlightRequest request) {
-    RequestClassStatistics requestClass = request.classStatistics();
-    double clientRetryShare = requestClass.clientRetryShare();
+    RequestClassStatistics classStatistics = request.classStatistics();
+    double clientRetryShare = classStatistics.clientRetryShare();
     double clientRetryProbability =
         Math.min(
             1,
-            requestClass.rejectedShare() / Math.max(RequestClassValue.MIN_SHARE, clientRetryShare));
+            classStatistics.rejectedShare()
+                / Math.max(RequestClassValue.MIN_SHARE, clientRetryShare));
     if (request.clientRequest().retry()) {
       return clientRetryProbability;
     }
-    return (requestClass.rejectedShare() - clientRetryShare * clientRetryProbability)
+    return (classStatistics.rejectedShare() - clientRetryShare * clientRetryProbability)
         / Math.max(RequestClassValue.MIN_SHARE, 1 - clientRetryShare);
   }
 
@@ -94,8 +95,8 @@
   }
 
   /**
-   * Whether attempts are monitored for signs of overload. Elsewhere the overload level stays at 0,
-   * so that nothing is rejected.
+   * Whether attempts are monitored for signs of overload. In the other tiers they are not, so the
+   * overload level stays at 0 and nothing is rejected.
    */
   boolean monitorsAttempts() {
     return tier == CLIENT_FACING_TIER;
@@ -110,7 +111,7 @@
   }
 
   /**
-   * Records the end of an attempt. A cancelled attempt is no evidence, and one that {@link
+   * Records the end of an attempt. A cancelled attempt is ignored, and one that {@link
    * #attemptLate} has recorded does not change the overload level a second time.
    */
   void attemptFinished(
--- a/src/main/java/loadbalancer/policy/HedgingPolicy.java
+++ b/src/main/java/loadbalancer/policy/HedgingPolicy.java
@@ -39,7 +39,7 @@
     this.retryBudget = retryBudget;
   }
 
-  /** Time after its send at which an attempt of this request is slow. */
+  /** The time since it was sent after which an attempt of this request is slow. */
   static double slowAfterMillis(InFlightRequest request) {
     return request.expectedLatencyMillis() * request.classStatistics().slowRatio();
   }
@@ -49,17 +49,18 @@
    *
    * @param latencyRatio latency of an attempt divided by its expected latency
    */
-  static void recordLatencyRatio(RequestClassStatistics requestClass, double latencyRatio) {
-    double slowRatio = requestClass.slowRatio();
+  static void recordLatencyRatio(RequestClassStatistics classStatistics, double latencyRatio) {
+    double slowRatio = classStatistics.slowRatio();
     double updatedSlowRatio =
         slowRatio
             * (1 + SLOW_RATIO_STEP * (latencyRatio > slowRatio ? 1 - SLOW_SHARE : -SLOW_SHARE));
-    requestClass.setSlowRatio(Math.min(MAX_SLOW_RATIO, Math.max(MIN_SLOW_RATIO, updatedSlowRatio)));
+    classStatistics.setSlowRatio(
+        Math.min(MAX_SLOW_RATIO, Math.max(MIN_SLOW_RATIO, updatedSlowRatio)));
   }
 
   /** Records a slow attempt that ended without a response. */
-  static void recordUnfinished(RequestClassStatistics requestClass) {
-    recordLatencyRatio(requestClass, Double.MAX_VALUE);
+  static void recordUnfinished(RequestClassStatistics classStatistics) {
+    recordLatencyRatio(classStatistics, Double.MAX_VALUE);
   }
 
   /** Whether an attempt sent now can be hedged later, when it is slow. */
--- a/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
+++ b/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
@@ -43,7 +43,7 @@
   private DiscoveryRefresh discoveryRefresh;
   private IdleConnectionRelease idleConnectionRelease;
 
-  /** Creates an instance that has its actions carried out by {@code actions}. */
+  /** Creates a policy that requests its actions from the host through {@code actions}. */
   public LatencyWeightedPolicy(PolicyActions actions) {
     this.actions = actions;
     this.pendingRequests = new PendingRequests(actions);
@@ -107,9 +107,9 @@
   /**
    * Sends the next attempt of a request if an endpoint can be selected for it.
    *
-   * <p>Otherwise the request is queued if it has no attempt and its time in the queue is not over;
-   * but not if the selection left out an endpoint because of the queueing limit. A request that is
-   * not queued is rejected or fails.
+   * <p>Otherwise the request is queued if it has no attempt and its time in the queue is not over.
+   * It is rejected or fails if it may not be queued, or if the selection left out an endpoint
+   * because of the {@link QueueingLimit}.
    */
   private void dispatch(InFlightRequest request, double now) {
     double latestSendMillis = PendingRequests.latestSendMillis(request);
--- a/src/main/java/loadbalancer/policy/OverloadDetector.java
+++ b/src/main/java/loadbalancer/policy/OverloadDetector.java
@@ -25,7 +25,9 @@
 
   private static final double MAX_LEVEL = 0.95;
 
-  /** A late attempt raises the level to at most this much above the rejected share at its send. */
+  /**
+   * A late attempt raises the level to at most this much above {@link Attempt#rejectedShareAtSend}.
+   */
   private static final double MAX_RISE_ABOVE_SHARE_AT_SEND = 0.3;
 
   /** Longest time that one late attempt accounts for. */
@@ -57,7 +59,7 @@
     this.placement = placement;
   }
 
-  /** Time after its send at which an attempt of this request counts as a sign of overload. */
+  /** The time since it was sent after which an attempt counts as a sign of overload. */
   static double lateAfterMillis(InFlightRequest request) {
     RequestClass requestClass = request.requestClass();
     return (LATE_OBJECTIVE_SHARE + requestClass.lateResponseValue())
@@ -73,12 +75,12 @@
   /**
    * The share of the arriving work to reject, 0 to 1. This is the overload level, limited to what
    * the served share of the admitted attempts justifies: attempts that are late for another reason
-   * than load are mostly served in the end, and rejecting their requests would only lose them.
+   * than load are mostly served in the end, and rejecting their requests would only lose responses.
    */
   double rejectedShare() {
-    // The unserved share less the served share: each rejected request may be one that is served.
-    double unservedLessServed = 1 - 2 * servedShareWhileAdmitting;
-    return Math.min(level, Math.max(MAX_REJECTED_SHARE_WHILE_SERVED, unservedLessServed));
+    // Rejecting pays off as far as unserved attempts outnumber the served ones that it would lose.
+    double unservedMinusServed = 1 - 2 * servedShareWhileAdmitting;
+    return Math.min(level, Math.max(MAX_REJECTED_SHARE_WHILE_SERVED, unservedMinusServed));
   }
 
   /** Records the outcome of an attempt if it was sent while most work was admitted. */
@@ -102,8 +104,8 @@
    * Raises the level for a late attempt, unless most endpoints serve in time: a single endpoint
    * that hangs is no reason to reject requests that others can serve.
    *
-   * <p>The attempt does not show the effect of what has been rejected since its send. Therefore it
-   * raises the level only to a limited amount above the rejected share at its send.
+   * <p>The attempt does not show the effect of what has been rejected since it was sent. Therefore
+   * it raises the level only to a limited amount above the rejected share of that time.
    */
   void recordLate(Attempt attempt, List<EndpointStatistics> readyEndpoints, double now) {
     attempt.endpoint().recordLateness(true, now);
@@ -123,14 +125,14 @@
    * attempts. Endpoints without recent evidence do not count.
    */
   private boolean mostEndpointsAreLate(List<EndpointStatistics> readyEndpoints, double now) {
-    double lateLessTimelyAttempts = 0;
+    double lateMinusTimelyAttempts = 0;
     for (EndpointStatistics endpoint : readyEndpoints) {
       if (placement.allows(endpoint.listedEndpoint())
           && now - endpoint.latenessKnownAtMillis() < EndpointStatistics.EVIDENCE_DECAY_MILLIS) {
         double recentAttempts = endpoint.attempts() + endpoint.inFlightCount();
-        lateLessTimelyAttempts += endpoint.wasLate() ? recentAttempts : -recentAttempts;
+        lateMinusTimelyAttempts += endpoint.wasLate() ? recentAttempts : -recentAttempts;
       }
     }
-    return lateLessTimelyAttempts > 0;
+    return lateMinusTimelyAttempts > 0;
   }
 }
--- a/src/test/java/loadbalancer/policy/LoadSheddingTest.java
+++ b/src/test/java/loadbalancer/policy/LoadSheddingTest.java
@@ -45,7 +45,7 @@
      */
     double endOrRemainingMillis;
 
-    /** Whether its instance has stopped waiting for it. */
+    /** Whether the instance that sent it has stopped waiting. */
     boolean timedOut;
 
     ReceivedAttempt(
--- a/src/test/java/loadbalancer/policy/PendingRequestsTest.java
+++ b/src/test/java/loadbalancer/policy/PendingRequestsTest.java
@@ -73,7 +73,7 @@
       harness.advance(arrivalIntervalMillis);
     }
     harness.advance(20);
-    int queued = harness.open.size() - harness.sentAttempts.size();
+    int queued = harness.openRequests.size() - harness.sentAttempts.size();
     assertTrue(queued > requests / 2, queued + " queued");
     // They arrived 0.3 ms apart, so with a timer each there would be a selection every 0.3 ms.
     long selections = harness.distinctTimerTimes(20);
@@ -87,8 +87,8 @@
     // other request has a final response.
     assertEquals(List.of((long) requests), harness.rejected);
     assertEquals(List.of(), harness.failed);
-    assertEquals(requests, harness.open.size(), "requests without a final response");
-    int stillQueued = harness.open.size() - harness.sentAttempts.size();
+    assertEquals(requests, harness.openRequests.size(), "requests without a final response");
+    int stillQueued = harness.openRequests.size() - harness.sentAttempts.size();
     assertTrue(
         stillQueued == queued || stillQueued == queued - 1,
         stillQueued + " of " + queued + " still queued");
--- a/src/test/java/loadbalancer/policy/PolicyHarness.java
+++ b/src/test/java/loadbalancer/policy/PolicyHarness.java
@@ -42,13 +42,13 @@
   final List<SentAttempt> cancelled = new ArrayList<>();
 
   /** IDs of the requests without a final response. */
-  final Set<Long> open = new HashSet<>();
+  final Set<Long> openRequests = new HashSet<>();
 
   private final Set<SentAttempt> finishedAttempts = new HashSet<>();
   int idleConnectionsClosed;
   int watchesStarted;
 
-  /** The virtual time, in milliseconds. */
+  /** Virtual time in milliseconds. */
   double now = 100_000;
 
   private final PolicySettings settings;
@@ -82,7 +82,7 @@
   }
 
   void request(long id, int requestClass, double deadlineMillis, double costMillis, long key) {
-    open.add(id);
+    openRequests.add(id);
     policy.requestArrived(
         now,
         new ClientRequest(
@@ -98,7 +98,7 @@
 
   /** Sends a request that its client has marked as a retry. */
   void clientRetry(long id, int requestClass) {
-    open.add(id);
+    openRequests.add(id);
     policy.requestArrived(
         now,
         new ClientRequest(
@@ -126,7 +126,7 @@
     finishAfter(sent, outcome, now - sent.atMillis());
   }
 
-  /** Ends an attempt as a host does that does not know yet that the request has ended. */
+  /** Ends an attempt of a request that has ended, before the host knows that it has. */
   void finishBeforeClose(SentAttempt sent, AttemptOutcome outcome) {
     policy.attemptFinished(
         now,
@@ -152,7 +152,7 @@
               + "; its request got no other attempt and no final response");
     }
     if (outcome == AttemptOutcome.OK) {
-      open.remove(sent.requestId());
+      openRequests.remove(sent.requestId());
     }
     policy.attemptFinished(
         now,
@@ -161,7 +161,7 @@
             sent.attempt(),
             sent.endpointId(),
             outcome,
-            !open.contains(sent.requestId()),
+            !openRequests.contains(sent.requestId()),
             elapsedMillis,
             null));
   }
@@ -171,7 +171,7 @@
   }
 
   void disconnectClient(long id) {
-    open.remove(id);
+    openRequests.remove(id);
     policy.clientDisconnected(now, id);
   }
 
@@ -200,7 +200,7 @@
   }
 
   boolean isOpen(long id) {
-    return open.contains(id);
+    return openRequests.contains(id);
   }
 
   @Override
@@ -211,14 +211,14 @@
 
   @Override
   public void reject(long requestId, double newRetryAfterMillis) {
-    open.remove(requestId);
+    openRequests.remove(requestId);
     rejected.add(requestId);
     retryAfterMillis = newRetryAfterMillis;
   }
 
   @Override
   public void failRequest(long requestId) {
-    open.remove(requestId);
+    openRequests.remove(requestId);
     failed.add(requestId);
   }
 
--- a/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -266,8 +266,8 @@
     }
 
     private void disconnectClient() {
-      if (!harness.open.isEmpty() && random.nextInt(3) == 0) {
-        long id = harness.open.stream().mapToLong(Long::longValue).min().orElseThrow();
+      if (!harness.openRequests.isEmpty() && random.nextInt(3) == 0) {
+        long id = harness.openRequests.stream().mapToLong(Long::longValue).min().orElseThrow();
         servedOrDisconnected.add(id);
         harness.disconnectClient(id);
       }
@@ -336,7 +336,7 @@
       for (long id : harness.failed) {
         assertTrue(finished.add(id), context + ": second final response of request " + id);
       }
-      for (long id : harness.open) {
+      for (long id : harness.openRequests) {
         assertTrue(
             streamingRequests.contains(id) || harness.now <= deadlineMillisByRequest.get(id) + 20,
             context + ": request " + id + " has no final response 20 ms after its deadline");
@@ -415,7 +415,8 @@
       }
       check(context);
       assertTrue(
-          harness.open.isEmpty(), context + ": requests without a final response: " + harness.open);
+          harness.openRequests.isEmpty(),
+          context + ": requests without a final response: " + harness.openRequests);
     }
   }
 }
