--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -188,7 +188,7 @@
     ProxyLogger.LOGGER.info("serving: name=" + config.name());
   }
 
-  /** The address that the instance listens on. */
+  /** The address that the instance listens on, with the port that was bound if 0 is configured. */
   public InetSocketAddress address() {
     return frontend.address();
   }
--- a/src/main/java/loadbalancer/proxy/frontend/Frontend.java
+++ b/src/main/java/loadbalancer/proxy/frontend/Frontend.java
@@ -115,7 +115,7 @@
         TimeUnit.MILLISECONDS);
   }
 
-  /** The address that the frontend listens on; its port is the one bound if 0 is configured. */
+  /** The address that the frontend listens on, with the port that was bound if 0 is configured. */
   public InetSocketAddress address() {
     return (InetSocketAddress) serverChannel.localAddress();
   }
