--- a/src/main/java/loadbalancer/model/LoadReportMode.java
+++ b/src/main/java/loadbalancer/model/LoadReportMode.java
@@ -2,7 +2,7 @@
 
 /** How an instance receives the load reports of endpoints. */
 public enum LoadReportMode {
-  /** In the headers of responses. */
+  /** In a header of the responses to requests. */
   PIGGYBACK,
   /** In the responses to health checks. */
   HEALTH_CHECK,
--- a/src/main/java/loadbalancer/model/RequestClass.java
+++ b/src/main/java/loadbalancer/model/RequestClass.java
@@ -40,7 +40,7 @@
     List<Integer> allowedZones,
     List<Integer> allowedMachineTypes) {
 
-  /** Whether the placement of this class allows an endpoint. */
+  /** Whether the placement of this class allows an endpoint, for any attempt of a request. */
   public boolean allows(Endpoint endpoint) {
     return (allowedZones == null || allowedZones.contains(endpoint.zone()))
         && (allowedMachineTypes == null || allowedMachineTypes.contains(endpoint.machineType()));
--- a/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Whether attempts are monitored for signs of overload. Elsewhere the overload level stays at 0,
-   * so that nothing is rejected.
+   * Whether attempts are monitored for signs of overload: only in the tier that clients reach
+   * directly. In the other tiers the overload level stays at 0, so that no load is shed.
    */
   boolean monitorsAttempts() {
     return tier == CLIENT_FACING_TIER;
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Records the end of an attempt. A cancelled attempt is no evidence, and one that {@link
-   * #attemptLate} has recorded does not change the overload level a second time.
+   * Records the end of an attempt. A cancelled attempt says nothing about overload, and one that
+   * {@link #attemptLate} has recorded does not change the overload level a second time.
    */
   void attemptFinished(
       Attempt attempt, AttemptResult result, List<EndpointStatistics> readyEndpoints, double now) {
--- a/src/main/java/loadbalancer/policy/Attempt.java
+++ b/src/main/java/loadbalancer/policy/Attempt.java
@@ -2,7 +2,10 @@
 
 import loadbalancer.model.AttemptOutcome;
 
-/** One attempt of a request and its state. */
+/**
+ * One sending of a request to an endpoint, and its state. A request has several attempts if it is
+ * retried or hedged.
+ */
 final class Attempt {
 
   private final InFlightRequest request;
--- a/src/main/java/loadbalancer/policy/EndpointCost.java
+++ b/src/main/java/loadbalancer/policy/EndpointCost.java
@@ -6,8 +6,9 @@
  * The cost of sending a request to an endpoint, in milliseconds. It starts from the expected
  * latency and the delay to expect from failures, rises with the attempts in flight and the time by
  * which the oldest of them is overdue, and is multiplied by a factor for each further reason to
- * avoid the endpoint: queueing, another zone, a place outside the subset, requests with a
- * restricted placement, warm-up. Endpoints are selected with a probability in proportion to 1/cost.
+ * avoid the endpoint: frequent failures, queueing, another zone, a place outside the subset, other
+ * requests that can be sent to few endpoints only, warm-up. Endpoints are selected with a
+ * probability in proportion to 1/cost.
  */
 final class EndpointCost {
 
@@ -49,24 +50,29 @@
    */
   private static final double MAX_FAILURE_PENALTY_RATIO = 16;
 
-  /** Lower bound of the mean number of other attempts in flight in the queueing estimate. */
+  /**
+   * Lower bound of the mean number of other attempts in flight in the queueing estimate: whatever
+   * was observed, an endpoint is assumed to be able to serve this many others at the same time.
+   */
   private static final double MIN_CONCURRENCY = 4;
 
   /**
-   * Relative cost increase outside the subset before any attempt has been recorded. It decreases
-   * with the square of the attempts per endpoint.
+   * Relative cost increase outside the subset before any attempt has been recorded. Later the
+   * increase is this divided by (1 + a)², where a is the mean number of recent attempts of this
+   * instance per ready endpoint.
    */
   private static final double OUTSIDE_SUBSET_PENALTY = 60;
 
   /**
-   * Relative cost increase outside the subset for each unit of the connection and handshake cost in
-   * {@link loadbalancer.model.CostSettings}.
+   * Relative cost increase outside the subset for each point of the connection and handshake cost
+   * in {@link loadbalancer.model.CostSettings}.
    */
   private static final double CONNECTION_PENALTY_FACTOR = 200;
 
   /**
-   * Relative cost increase of an endpoint for each unit of the overload level of a restricted
-   * placement that includes it and is not the request's own.
+   * An endpoint in a restricted placement costs requests of other placements more. The relative
+   * increase is this times the sum of the overload level of that placement, 0 to 0.95, and {@link
+   * #RESTRICTED_PLACEMENT_BASE_LEVEL}.
    */
   private static final double RESTRICTED_PLACEMENT_PENALTY_FACTOR = 40;
 
--- a/src/main/java/loadbalancer/policy/HedgingPolicy.java
+++ b/src/main/java/loadbalancer/policy/HedgingPolicy.java
@@ -4,8 +4,8 @@
 import loadbalancer.model.LimitSettings;
 
 /**
- * Decides when an attempt is slow enough for a hedged request or, where parallel attempts are not
- * allowed, is abandoned for a retry.
+ * Decides when an attempt is slow enough to be hedged or, where parallel attempts are not allowed,
+ * to be abandoned for a retry.
  *
  * <p>An attempt is slow above the 95th percentile of the latency of its class. The percentile is
  * tracked as a ratio to the expected latency (the slow ratio), so that it fits classes with a
--- a/src/main/java/loadbalancer/policy/KeyedRequestQueue.java
+++ b/src/main/java/loadbalancer/policy/KeyedRequestQueue.java
@@ -11,7 +11,10 @@
  */
 final class KeyedRequestQueue {
 
-  /** Requests in order of arrival by ordering key; without empty queues. Never iterated. */
+  /**
+   * For each ordering key, its requests in order of arrival. An empty queue is removed. The map is
+   * only used to look up a key, never iterated.
+   */
   private final Map<Long, ArrayDeque<InFlightRequest>> queuesByKey = new HashMap<>();
 
   /** Queues a request behind those with the same key, if its class is ordered and it has a key. */
--- a/src/main/java/loadbalancer/policy/OverloadDetector.java
+++ b/src/main/java/loadbalancer/policy/OverloadDetector.java
@@ -9,7 +9,7 @@
  *
  * <p>Its input is whether attempts at the endpoints of one placement group were late or were served
  * in time. A late attempt raises the overload level and a timely one lowers it, each in proportion
- * to the time since the previous change, so that the level moves as fast at a low request rate as
+ * to the time since the previous update, so that the level moves as fast at a low request rate as
  * at a high one.
  */
 final class OverloadDetector {
@@ -17,12 +17,19 @@
   /** An attempt is late after (this share + late response value) x latency objective. */
   private static final double LATE_OBJECTIVE_SHARE = 0.5;
 
-  /** Rise of the level for each second that late attempts account for. */
+  /**
+   * Rise of the level per second while attempts are late. One late attempt accounts for the time
+   * since the previous update of the level, up to {@link #MAX_LATE_INTERVAL_MILLIS}.
+   */
   private static final double LEVEL_RISE_PER_SECOND = 0.9;
 
-  /** Fall of the level for each second that timely attempts account for. */
+  /**
+   * Fall of the level per second while attempts are timely. One timely attempt accounts for the
+   * time since the previous update of the level.
+   */
   private static final double LEVEL_FALL_PER_SECOND = 0.22;
 
+  /** Upper bound of the level. */
   private static final double MAX_LEVEL = 0.95;
 
   /** A late attempt raises the level to at most this much above the rejected share at its send. */
--- a/src/main/java/loadbalancer/policy/QueueingLimit.java
+++ b/src/main/java/loadbalancer/policy/QueueingLimit.java
@@ -5,8 +5,8 @@
  * limit, after a loss of endpoints, the others would get all requests and spend their capacity on
  * responses that come too late.
  *
- * <p>It applies only in the tier that clients send to. In a lower tier, a rejection would waste the
- * work that the tiers above have already done for the request.
+ * <p>It applies only in the tier that clients reach directly. A rejection in a later tier would
+ * waste the work that the earlier tiers have already done for the request.
  */
 final class QueueingLimit {
 
@@ -29,7 +29,7 @@
 
   /**
    * The longest queueing delay, in milliseconds, at which the request may be sent: a share of the
-   * time left in which its response is useful. Unlimited in the lower tiers.
+   * time left in which its response is useful. Unlimited in the later tiers.
    */
   double maxDelayMillis(InFlightRequest request, double now) {
     if (tier > AdmissionController.CLIENT_FACING_TIER) {
--- a/src/main/java/loadbalancer/policy/RequestClassValue.java
+++ b/src/main/java/loadbalancer/policy/RequestClassValue.java
@@ -3,7 +3,10 @@
 /** The value of serving the requests of a class, and the work that they need. */
 final class RequestClassValue {
 
-  /** Added to the traffic share of each class, so that ratios of work and value are finite. */
+  /**
+   * Added to the traffic share of each class, and the least share of requests that load shedding
+   * divides by: no ratio of shares, work or value has a divisor of 0.
+   */
   static final double MIN_SHARE = 1e-6;
 
   private final boolean priorityByWork;
--- a/src/main/java/loadbalancer/policy/RetryBudget.java
+++ b/src/main/java/loadbalancer/policy/RetryBudget.java
@@ -18,8 +18,8 @@
   }
 
   /**
-   * Returns the token of a retry or hedged request that was served: only some of the endpoints
-   * fail, so that further retries are useful.
+   * Adds a token for a retry or hedged request that was served: it shows that only some of the
+   * endpoints fail, so that another one may follow.
    */
   void retryOrHedgeServed() {
     add(1);
--- a/src/main/java/loadbalancer/policy/RetryPolicy.java
+++ b/src/main/java/loadbalancer/policy/RetryPolicy.java
@@ -16,8 +16,8 @@
 
   /**
    * Whether a request may be retried after an attempt with this outcome; takes a token for the
-   * retry. A retry after a failed connect is free, as the failed attempt caused the endpoint no
-   * work. There is none after an attempt that this instance could not send.
+   * retry. A retry after a failed connect needs no token, as the failed attempt caused the endpoint
+   * no work. A request is not retried after an attempt that this instance could not send.
    */
   boolean tryAcquireRetry(AttemptOutcome outcome) {
     if (outcome == AttemptOutcome.NOT_SENT) {
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -34,8 +34,8 @@
 
   /**
    * Lower bound of the present capacity that the budgets are divided by: the capacity that the
-   * allowed endpoints have once warm, divided by this. It limits the budgets while all endpoints
-   * are warming up.
+   * allowed endpoints have once warm, divided by this. The bound limits the budgets while all
+   * endpoints are warming up.
    */
   private static final double MIN_CAPACITY_DIVISOR = 2.0;
 
@@ -82,9 +82,10 @@
   }
 
   /**
-   * The accumulated probability, 0 to 1, that a new endpoint begins with. The values of the
-   * instances are evenly spaced, from an offset that depends on the endpoint ID, so that the
-   * instances do not all send their first attempt at once.
+   * The sum of selection probabilities, 0 to 1, that a new endpoint begins with. It is sent an
+   * attempt when the sum reaches 1, see the class comment. The values of the instances are evenly
+   * spaced, from an offset that depends on the endpoint ID, so that the instances do not all send
+   * their first attempt at once.
    */
   double initialAccumulatedProbability(Endpoint endpoint) {
     double unwrapped =
@@ -94,9 +95,10 @@
   }
 
   /**
-   * Sets the budgets of the endpoints that an arriving request may go to. If the instance prefers a
-   * subset, the budgets are raised within it and lowered outside, where they would mostly go
-   * unused; the sum of an endpoint's budgets over all instances stays the same.
+   * Sets the budgets of the endpoints that an arriving request may go to. A budget is the fraction
+   * of an attempt that a warming endpoint may get until the next request arrives and replaces it.
+   * If the instance prefers a subset, the budgets are raised within it and lowered outside, where
+   * they would mostly go unused; the sum of an endpoint's budgets over all instances is unchanged.
    */
   void grantBudget(
       InFlightRequest request,
--- a/src/main/java/loadbalancer/policy/TimerToken.java
+++ b/src/main/java/loadbalancer/policy/TimerToken.java
@@ -2,7 +2,8 @@
 
 /**
  * Encodes the tokens of {@link PolicyActions#scheduleTimer}: the request ID, and in the lowest
- * eight bits the kind of the timer and the number of its attempt, 0 to 126.
+ * eight bits the kind of the timer and the number of its attempt, 0 to 126. For a late-attempt
+ * timer, 127 would give the bits of a queue timer.
  */
 final class TimerToken {
 
--- a/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -117,7 +117,9 @@
       harness.request(i, 0);
       harness.advance(20);
     }
-    assertTrue(harness.rejected.size() > rejectedBefore, harness.rejected.size() + " rejected");
+    assertTrue(
+        harness.rejected.size() > rejectedBefore,
+        harness.rejected.size() + " rejected, but none of the 20 requests of the second phase");
   }
 
   @Test
@@ -253,7 +255,9 @@
       if (i == 50) {
         assertTrue(
             harness.rejected.size() - rejectedBefore > 10,
-            harness.rejected.size() - rejectedBefore + " rejected");
+            harness.rejected.size()
+                - rejectedBefore
+                + " of the first 50 requests after the overload rejected, expected more than 10");
         rejectedBefore = harness.rejected.size();
       }
       harness.request(requestId, 0);
--- a/src/test/java/loadbalancer/policy/EndpointSelectorTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointSelectorTest.java
@@ -140,7 +140,9 @@
             100);
       }
     }
-    assertTrue(toRestarted > 80, "attempts sent to it after the restart: " + toRestarted);
+    assertTrue(
+        toRestarted > 80,
+        "attempts sent to the restarted endpoint after its restart: " + toRestarted);
   }
 
   @Test
@@ -249,9 +251,12 @@
     }
     // An even distribution over the four endpoints would give it 250 requests of each class.
     assertTrue(
-        toFailingByClass[0] < 60, "attempts of the class that it fails: " + toFailingByClass[0]);
+        toFailingByClass[0] < 60,
+        "attempts of the failing class at the endpoint that fails it: " + toFailingByClass[0]);
     assertTrue(
-        toFailingByClass[1] > 150, "attempts of the class that it serves: " + toFailingByClass[1]);
+        toFailingByClass[1] > 150,
+        "attempts of the served class at the endpoint that fails the other class: "
+            + toFailingByClass[1]);
   }
 
   @Test
--- a/src/test/java/loadbalancer/policy/PendingRequestsTest.java
+++ b/src/test/java/loadbalancer/policy/PendingRequestsTest.java
@@ -74,7 +74,8 @@
     }
     harness.advance(20);
     int queued = harness.open.size() - harness.sentAttempts.size();
-    assertTrue(queued > requests / 2, queued + " queued");
+    assertTrue(
+        queued > requests / 2, queued + " of the 200 requests queued, expected more than half");
     // They arrived 0.3 ms apart, so with a timer each there would be a selection every 0.3 ms.
     long selections = harness.distinctTimerTimes(20);
     assertTrue(selections <= 2, selections + " selections within 20 ms");
--- a/src/test/java/loadbalancer/policy/PolicyHarness.java
+++ b/src/test/java/loadbalancer/policy/PolicyHarness.java
@@ -149,7 +149,7 @@
       throw new AssertionError(
           "the test ended this attempt twice: "
               + sent
-              + "; its request got no other attempt and no final response");
+              + "; perhaps lastAttempt() still returns it because the policy sent no other attempt");
     }
     if (outcome == AttemptOutcome.OK) {
       open.remove(sent.requestId());
--- a/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -283,7 +283,10 @@
       }
     }
 
-    /** Advances the time in steps of up to 5 ms; times out attempts as the host would. */
+    /**
+     * Advances the time in steps of up to 5 ms. Times out attempts as the host would, also those
+     * that timers send in the meantime.
+     */
     private void advance(double millis) {
       double untilMillis = harness.now + millis;
       while (harness.now < untilMillis) {
