--- a/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Whether attempts are monitored for signs of overload. In the other tiers they are not, so the
-   * overload level stays at 0 and nothing is rejected.
+   * Whether attempts are monitored for signs of overload: only in the tier that clients reach
+   * directly. In the other tiers the overload level stays at 0, so that no load is shed.
    */
   boolean monitorsAttempts() {
     return tier == CLIENT_FACING_TIER;
@@ -111,8 +111,8 @@
   }
 
   /**
-   * Records the end of an attempt. A cancelled attempt is ignored, and one that {@link
-   * #attemptLate} has recorded does not change the overload level a second time.
+   * Records the end of an attempt. A cancelled attempt says nothing about overload, and one that
+   * {@link #attemptLate} has recorded does not change the overload level a second time.
    */
   void attemptFinished(
       Attempt attempt, AttemptResult result, List<EndpointStatistics> readyEndpoints, double now) {
