--- a/src/main/java/loadbalancer/proxy/InFlightExchange.java
+++ b/src/main/java/loadbalancer/proxy/InFlightExchange.java
@@ -12,8 +12,9 @@
 import loadbalancer.proxy.upstream.UpstreamAttempt;
 
 /**
- * The sockets' side of one request, from its arrival until it has its final response, or its client
- * has disconnected, and none of its attempts is running. Used on the event loop thread only.
+ * One request and its attempts, as the sockets handle them; the policy keeps its own state of the
+ * request. Lasts from the arrival until the request has its final response, or its client has
+ * disconnected, and none of its attempts is running. Used on the event loop thread only.
  */
 final class InFlightExchange implements RequestDispatcher.DispatchedRequest {
 
@@ -90,8 +91,8 @@
   }
 
   /**
-   * Whether a client waits for a response and is still connected; this also counts a disconnect
-   * that the kernel has received but the event loop has not handled yet.
+   * Whether a client waits for a response and is still connected. A client whose disconnect has
+   * reached the kernel counts as disconnected, even if the event loop has not handled that yet.
    */
   boolean isClientConnected() {
     return responder != null && responder.isConnected();
@@ -134,15 +135,15 @@
   /**
    * Writes the final response unless the exchange is closed; returns whether it did.
    *
-   * @param retryAfterMillis the value of the Retry-After header; 0 for no header
+   * @param retryAfterMillis the time to give in the Retry-After header; 0 for no header
    */
   boolean respond(HttpResponseStatus status, ByteBuf body, double retryAfterMillis) {
-    RequestDispatcher.Responder firstResponder = responder;
-    if (firstResponder == null) {
+    RequestDispatcher.Responder waitingResponder = responder;
+    if (waitingResponder == null) {
       return false;
     }
     close();
-    firstResponder.respond(status, body, retryAfterMillis);
+    waitingResponder.respond(status, body, retryAfterMillis);
     return true;
   }
 
--- a/src/main/java/loadbalancer/proxy/Main.java
+++ b/src/main/java/loadbalancer/proxy/Main.java
@@ -34,7 +34,11 @@
     } else if (args.length == 1 && args[0].equals("serve")) {
       serve();
     } else {
-      exit("usage: java -jar load-balancer.jar serve | wire", EXIT_USAGE);
+      exit(
+          "usage: java -jar load-balancer.jar serve | wire"
+              + " (serve: run the load balancer; wire: run its policy for a simulator,"
+              + " over standard input and output)",
+          EXIT_USAGE);
     }
   }
 
--- a/src/main/java/loadbalancer/proxy/PolicyDriver.java
+++ b/src/main/java/loadbalancer/proxy/PolicyDriver.java
@@ -93,7 +93,7 @@
         null,
         () -> policy.endpointsChanged(clock.now(), EndpointUpdateType.CACHED, cached.endpoints()));
     if (!settings.explicitWatch()) {
-      // In this mode the policy does not ask for updates, but only a watch delivers them.
+      // In this mode the policy does not ask for updates, so the watch for them is started here.
       watchEndpoints(true);
     }
   }
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -201,8 +201,8 @@
   /**
    * Carries out the shutdown that SIGTERM asks for; the process may end once this returns. If
    * several instances restart at the same time, clients may have no other one to connect to.
-   * Therefore they are served as before until the closing phase, and only then asked to close their
-   * connections.
+   * Therefore they are served as before for as long as their requests can still be answered, that
+   * is until the closing phase, and only then asked to close their connections.
    */
   void shutDownGracefully() throws InterruptedException {
     double longestDeadlineMillis =
--- a/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
@@ -54,7 +54,7 @@
   /** Longest time from a response to the first byte of the next request. */
   private static final double KEEP_ALIVE_TIMEOUT_MILLIS = 3_000;
 
-  /** Longest time for the client to receive a response and, after the last one, to disconnect. */
+  /** Longest time for the client to receive a response; a lingering close has its own timeout. */
   private static final double WRITE_TIMEOUT_MILLIS = 10_000;
 
   private final Frontend frontend;
--- a/src/main/java/loadbalancer/proxy/frontend/CurrentRequest.java
+++ b/src/main/java/loadbalancer/proxy/frontend/CurrentRequest.java
@@ -17,7 +17,7 @@
   /** The ID of the request, once it has been reserved for it; null before. */
   private String requestId;
 
-  /** Set once {@link RequestDispatcher#dispatch} has returned without a response. */
+  /** Set once {@link RequestDispatcher#dispatch} has returned, if a response is due then. */
   private RequestDispatcher.DispatchedRequest dispatched;
 
   CurrentRequest(Frontend frontend, RequestDispatcher dispatcher, ClientConnection connection) {
--- a/src/main/java/loadbalancer/proxy/frontend/Frontend.java
+++ b/src/main/java/loadbalancer/proxy/frontend/Frontend.java
@@ -32,7 +32,7 @@
 public final class Frontend {
 
   private enum ShutdownPhase {
-    /** The instance is not shutting down. */
+    /** Clients are served as usual, also in the first part of a shutdown. */
     NONE,
     /** Requests are served; a response closes its connection if no other request has arrived. */
     GRACEFUL,
@@ -52,7 +52,10 @@
   private final RequestValidator validator;
   private final PipelineBudget pipelineBudget = new PipelineBudget();
 
-  /** Open connections, ordered by the time of their last response, or of their accept if none. */
+  /**
+   * Open connections, the least recently used one first: ordered by the time of the last response,
+   * or of the accept if there was no response yet.
+   */
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
   /** The connections whose request is in flight, by the ID of that request. */
--- a/src/main/java/loadbalancer/proxy/frontend/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/frontend/RequestDispatcher.java
@@ -26,7 +26,7 @@
   DispatchedRequest dispatch(
       Function<Long, ClientRequest> requestForId, FullHttpRequest message, Responder responder);
 
-  /** A request that the dispatcher has accepted, as the client connection refers to it. */
+  /** A request that the dispatcher has accepted, as seen from its client connection. */
   interface DispatchedRequest {
 
     /** Whether its client still waits for the final response. */
@@ -48,8 +48,8 @@
     void respond(HttpResponseStatus status, ByteBuf body, double retryAfterMillis);
 
     /**
-     * Whether the client is still connected; this also counts a disconnect that the kernel has
-     * received but the event loop has not handled yet.
+     * Whether the client is still connected. A client whose disconnect has reached the kernel
+     * counts as disconnected, even if the event loop has not handled that yet.
      */
     boolean isConnected();
   }
--- a/src/main/java/loadbalancer/proxy/frontend/RequestValidator.java
+++ b/src/main/java/loadbalancer/proxy/frontend/RequestValidator.java
@@ -30,7 +30,10 @@
   /** The largest share of the client's timeout that this reserve may take. */
   private static final double MAX_RESPONSE_RESERVE_SHARE = 0.1;
 
-  /** The largest share while the event loop is late, as its responses may then be as late. */
+  /**
+   * The largest share of the client's timeout that is reserved while the event loop is late: its
+   * responses are then late too.
+   */
   private static final double MAX_LATE_RESPONSE_RESERVE_SHARE = 0.25;
 
   /** A path with an optional query, of at most 2048 characters of visible ASCII. */
--- a/src/main/java/loadbalancer/proxy/frontend/ResponseWriter.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ResponseWriter.java
@@ -42,7 +42,7 @@
    * Writes a final response.
    *
    * @param body the callee takes ownership of one reference to it
-   * @param retryAfterMillis the value of the Retry-After header; 0 for no header
+   * @param retryAfterMillis the time to give in the Retry-After header; 0 for no header
    * @param closesConnection whether the response tells the client that the connection will close
    */
   void write(
--- a/src/test/java/loadbalancer/proxy/CrossZoneSpillTest.java
+++ b/src/test/java/loadbalancer/proxy/CrossZoneSpillTest.java
@@ -69,12 +69,12 @@
         fixture.connectClient().write(ProxyFixture.atMostOnceRequest("c" + i, "x"));
         received[ScriptedPolicy.takeNext(receivedBy)]++;
       }
-      // The expected latency starts at a fifth of the objective, and the endpoint is assumed to
-      // serve 5 requests at a time: with 25 in flight, the expected queueing delay equals the
-      // objective.
+      // The expected latency starts at a fifth of the objective, and the policy assumes that an
+      // endpoint serves 5 requests at a time. So 25 requests are expected to take the objective.
       assertTrue(
           received[0] <= 55,
           received[0] + " of " + REQUESTS + " requests were sent to the own zone, over 55");
+      // The cross-zone penalty keeps part of the requests in the own zone in spite of the queue.
       assertTrue(
           received[0] >= REQUESTS / 4,
           received[0]
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -198,7 +198,7 @@
             return null;
           });
       assertEquals(504, client.read().status());
-      // Pipelined requests were not forwarded, so they are rejected and safe to retry.
+      // Pipelined requests were not forwarded: status 503 tells the client that a retry is safe.
       assertEquals(503, client.read().status());
       HttpPeer.Message last = client.read();
       assertEquals(503, last.status());
--- a/src/test/java/loadbalancer/proxy/ProxyFixture.java
+++ b/src/test/java/loadbalancer/proxy/ProxyFixture.java
@@ -28,11 +28,12 @@
   public int drainGraceMillis = 2_000;
 
   /**
-   * How many upstreams, from the first, are in the own zone; the others' machine type differs too.
+   * How many upstreams, counted from the first, are in the load balancer's own zone. The others are
+   * in another zone and have another machine type.
    */
   int endpointsInOwnZone = Integer.MAX_VALUE;
 
-  /** How many upstreams, from the first, are in the endpoint list of the configuration. */
+  /** How many upstreams, counted from the first, are in the configured endpoint list. */
   public int configuredEndpoints = Integer.MAX_VALUE;
 
   public int pollIntervalMillis = 1_000;
--- a/src/test/java/loadbalancer/proxy/ProxyProcess.java
+++ b/src/test/java/loadbalancer/proxy/ProxyProcess.java
@@ -47,7 +47,10 @@
     return new ProxyProcess(fixture, new ProcessBuilder(command));
   }
 
-  /** Starts a process through a shell; {@code commandPrefix} precedes the path of {@code java}. */
+  /**
+   * Starts a process through a shell; {@code commandPrefix} precedes the path of {@code java}. Both
+   * its output and its errors are discarded.
+   */
   static ProxyProcess startInShell(ProxyFixture fixture, String commandPrefix) throws IOException {
     ProcessBuilder command =
         new ProcessBuilder(
--- a/src/test/java/loadbalancer/proxy/ScriptedPolicy.java
+++ b/src/test/java/loadbalancer/proxy/ScriptedPolicy.java
@@ -25,7 +25,10 @@
 
   public volatile Consumer<AttemptResult> onResult = result -> {};
 
-  /** The reaction to the result of a request that has no response yet; by default it fails. */
+  /**
+   * The reaction to the result of an attempt whose request has no response yet; by default, the
+   * request fails.
+   */
   public volatile BiConsumer<PolicyActions, AttemptResult> onUnansweredResult =
       (actions, result) -> actions.failRequest(result.requestId());
 
@@ -48,7 +51,10 @@
     return this;
   }
 
-  /** Sends an attempt to the upstream with this index; with a timeout of 0, until the deadline. */
+  /**
+   * Sends an attempt to the endpoint at an index of the endpoint list; a timeout of 0 lets the
+   * attempt run until the deadline of the request.
+   */
   public void sendTo(int upstreamIndex, ClientRequest request, double timeoutMillis) {
     actions.sendAttempt(request.id(), endpoints.get(upstreamIndex).id(), timeoutMillis);
   }
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -61,7 +61,10 @@
         classes.size() <= MAX_CLASSES, classes.size() + " classes loaded; limit " + MAX_CLASSES);
   }
 
-  /** Starts a process that has half of its archive written; SIGTERM runs {@code onSigterm}. */
+  /**
+   * Starts a shell that imitates a program that writes its archive: half of it is written when this
+   * returns, and on SIGTERM the shell runs {@code onSigterm}.
+   */
   private static Process startArchiveWriter(Path partialArchive, String onSigterm)
       throws IOException {
     Process process =
--- a/src/test/java/loadbalancer/proxy/frontend/FrontendTest.java
+++ b/src/test/java/loadbalancer/proxy/frontend/FrontendTest.java
@@ -393,7 +393,10 @@
     }
   }
 
-  /** A disconnected client's request is not forwarded, even if the disconnect is still unread. */
+  /**
+   * A disconnected client's request is not forwarded, even if the disconnect is still unread and
+   * follows other unread input.
+   */
   @Nested
   class ClientDisconnect {
 
@@ -425,7 +428,8 @@
         runOnLoop(
             fixture,
             () -> {
-              // The request came first, so the server reads it before the disconnect.
+              // Both are unread when this returns. The request came first, so the server reads it
+              // before the disconnect.
               secondClient.write(ProxyFixture.idempotentRequest("same", "10"));
               firstClient.close();
             });
