--- a/src/main/java/loadbalancer/benchmark/BalancerProcess.java
+++ b/src/main/java/loadbalancer/benchmark/BalancerProcess.java
@@ -18,8 +18,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A real balancer that runs in a process of its own, started with the command {@code run} of the
- * deploy file. Processes that still run when the benchmark exits are killed.
+ * A real balancer that runs in a process of its own, started with the command {@code run} in
+ * deploy/balancer.toml. Processes that still run when the benchmark exits are killed.
  */
 final class BalancerProcess implements AutoCloseable {
 
@@ -79,7 +79,7 @@
     RUNNING.add(process);
   }
 
-  /** Reads the shell command that starts a balancer from the deploy file. */
+  /** Reads the shell command that starts a balancer from deploy/balancer.toml. */
   static String readRunCommand() throws IOException {
     Matcher runLine =
         RUN_COMMAND.matcher(Files.exists(DEPLOY_FILE) ? Files.readString(DEPLOY_FILE) : "");
--- a/src/main/java/loadbalancer/benchmark/CallsCommand.java
+++ b/src/main/java/loadbalancer/benchmark/CallsCommand.java
@@ -17,7 +17,7 @@
  * Measures the policy in virtual time and the parser of endpoint lists, with endpoint lists of
  * different lengths: processor time and allocated bytes per request, change of one endpoint, empty
  * update, full list and parsed list, and counts of the policy's operations per request. To be run
- * with the JVM flags of the command {@code run} in the deploy file, as they select the JIT
+ * with the JVM flags of the command {@code run} in deploy/balancer.toml, as they select the JIT
  * compiler.
  */
 @Command(
@@ -34,7 +34,7 @@
   private static final int MAX_REPEATS = 50;
   private static final int COUNTED_REQUESTS = 200;
 
-  /** Fixed, so that the counts of operations are the same whatever the options say. */
+  /** Fixed, like the seed, so that the counts of operations don't depend on --rate and --seed. */
   private static final double COUNTING_RATE = 147;
 
   private static final long COUNTING_SEED = 1;
--- a/src/main/java/loadbalancer/benchmark/ControlCommand.java
+++ b/src/main/java/loadbalancer/benchmark/ControlCommand.java
@@ -76,8 +76,8 @@
       names = "--changes",
       defaultValue = "5",
       description =
-          "Number of changes of one endpoint in the phase 'changes'; each follows when all simulated"
-              + " balancers have applied the one before (default ${DEFAULT-VALUE}).")
+          "Number of changes, each of one endpoint, in the phase 'changes'; each is made when all"
+              + " simulated balancers have applied the one before (default ${DEFAULT-VALUE}).")
   int changeCount;
 
   @Option(
@@ -91,7 +91,8 @@
       names = "--a-day",
       defaultValue = "29000",
       description =
-          "Mean number of changes of one endpoint per day in the phase 'day' (default ${DEFAULT-VALUE}).")
+          "Mean number of changes per day in the whole list, each of one endpoint, in the phase"
+              + " 'day' (default ${DEFAULT-VALUE}).")
   double changesPerDay;
 
   @Option(
--- a/src/main/java/loadbalancer/benchmark/ControlScenario.java
+++ b/src/main/java/loadbalancer/benchmark/ControlScenario.java
@@ -9,8 +9,8 @@
 
 /**
  * The phases of the command {@code control}: start of all balancers, rest, single changes, changes
- * at a daily rate, loss of a zone with its endpoints and balancers, their return after a restart,
- * an outage of discovery, and the recovery of all balancers from it.
+ * at a daily rate, loss of a zone with its endpoints and balancers, their return as newly started
+ * ones, an outage of discovery, and the recovery of all balancers from it.
  */
 final class ControlScenario {
 
@@ -61,7 +61,9 @@
     }
   }
 
-  // Each phase returns how many simulated balancers lack the latest version at its end.
+  // Each phase returns how many running simulated balancers did not get its last version within the
+  // timeout. Single changes add up these numbers for each change; rest and outage return 0, as they
+  // wait for no version.
 
   private int startAll() throws InterruptedException {
     fleet.start(balancerIndex -> true);
--- a/src/main/java/loadbalancer/benchmark/DeploymentOptions.java
+++ b/src/main/java/loadbalancer/benchmark/DeploymentOptions.java
@@ -23,8 +23,9 @@
   @Option(
       names = "--tier",
       description =
-          "Tier of the endpoints that balancers send to: 0 for the one that clients reach, else 1"
-              + " (default 0 for calls, 1 for control and processes).")
+          "Tier of the endpoints that the balancers send to. 0: the balancers receive requests from"
+              + " clients; 1: they receive them from servers of another tier (default 0 for calls, 1"
+              + " for control and processes).")
   Integer tier;
 
   /** Returns the tier, or a default if the option is absent. */
--- a/src/main/java/loadbalancer/benchmark/FakeDiscoveryService.java
+++ b/src/main/java/loadbalancer/benchmark/FakeDiscoveryService.java
@@ -41,10 +41,10 @@
 import loadbalancer.benchmark.SyntheticDeployment.EndpointEntry;
 
 /**
- * A fake discovery service that listens on loopback. It serves full lists and watches, which it
- * answers with a delta, and simulates outages. A watch from a version whose changes are no longer
- * kept gets the full list. Balancers call it directly, without the caching agent of a real
- * deployment.
+ * A fake discovery service that listens on loopback. It serves full lists and watches (requests
+ * with the parameters index and wait), which it answers with a delta, and simulates outages. A
+ * watch from a version whose changes are no longer kept gets the full list. Balancers call it
+ * directly, without the caching agent of a real deployment.
  */
 final class FakeDiscoveryService implements AutoCloseable {
 
--- a/src/main/java/loadbalancer/benchmark/FitCommand.java
+++ b/src/main/java/loadbalancer/benchmark/FitCommand.java
@@ -41,7 +41,9 @@
 
   @Option(
       names = "--where",
-      description = "Uses only points with this value, such as parameters.phase=rest.")
+      description =
+          "Uses only points that have a value at a path, given as path=value, such as"
+              + " parameters.phase=rest. If repeated, all conditions must hold.")
   private List<String> conditions = List.of();
 
   @Parameters(arity = "1..*", description = "Files with one point as JSON per line.")
--- a/src/main/java/loadbalancer/benchmark/PhaseRecorder.java
+++ b/src/main/java/loadbalancer/benchmark/PhaseRecorder.java
@@ -28,7 +28,10 @@
   /** A phase of the command {@code control}. */
   interface Phase {
 
-    /** Runs the phase; returns how many simulated balancers lack the latest version at its end. */
+    /**
+     * Runs the phase; returns how many simulated balancers did not get a version within the
+     * timeout, added up over the versions that the phase waits for.
+     */
     int run() throws InterruptedException, IOException;
   }
 
--- a/src/main/java/loadbalancer/benchmark/ProcessesCommand.java
+++ b/src/main/java/loadbalancer/benchmark/ProcessesCommand.java
@@ -13,9 +13,9 @@
 import picocli.CommandLine.Option;
 
 /**
- * Measures real balancers, started with the command {@code run} of the deploy file, with endpoint
- * lists of different lengths: time and processor time until they are ready, processor time per
- * further full list, and memory at rest, after these lists and with open client connections.
+ * Measures real balancers, started with the command {@code run} in deploy/balancer.toml, with
+ * endpoint lists of different lengths: time and processor time until they are ready, processor time
+ * per further full list, and memory at rest, after these lists and with open client connections.
  */
 @Command(
     name = "processes",
@@ -30,8 +30,8 @@
   private static final double NANOS_PER_SECOND = 1e9;
 
   /**
-   * Bound of discovery's versions in a run: the first, and one per resync, of which 100 are
-   * allowed.
+   * Size of the array of acknowledgements by version. Ample: a run has at most 101 versions, the
+   * first one and one per resync.
    */
   private static final int MAX_VERSIONS = 1_000;
 
--- a/src/main/java/loadbalancer/benchmark/SimulatedBalancer.java
+++ b/src/main/java/loadbalancer/benchmark/SimulatedBalancer.java
@@ -23,7 +23,7 @@
 
 /**
  * A balancer without clients. It has the policy and the discovery client of a {@code ProxyServer},
- * but shares its event loop with many other instances. Its only socket is the connection to
+ * but thousands of instances can share a few event loops. Its only socket is the connection to
  * discovery. Confined to its event loop, except for {@link #start}, {@link #stop} and {@link
  * #instanceIndex}.
  */
--- a/src/main/java/loadbalancer/benchmark/SyntheticDeployment.java
+++ b/src/main/java/loadbalancer/benchmark/SyntheticDeployment.java
@@ -73,7 +73,8 @@
 
   /**
    * Returns a balancer's configuration in JSON. It contains no endpoints, so that the balancer has
-   * to get its first list from discovery, which it watches from its start.
+   * to get its first list from discovery. With {@code registryMode} automatic, discovery notifies
+   * every balancer of changes, and the balancer watches it from its start.
    */
   static String configJson(
       InetSocketAddress listenAddress,
--- a/src/main/java/loadbalancer/simulation/EndpointLists.java
+++ b/src/main/java/loadbalancer/simulation/EndpointLists.java
@@ -82,9 +82,9 @@
     int stateCode = body.unsignedByte(offset + ENTRY_STATE);
     if (stateCode >= STATES.length) {
       throw new MalformedInputException(
-          "endpoint list entry "
+          "endpoint list entry with index "
               + index
-              + ": unknown state code "
+              + " (from 0): unknown state code "
               + stateCode
               + ", the highest is "
               + (STATES.length - 1));
@@ -92,7 +92,10 @@
     float capacityHint = body.rawFloat(offset + ENTRY_CAPACITY_HINT);
     if (!Float.isFinite(capacityHint)) {
       throw new MalformedInputException(
-          "endpoint list entry " + index + ": capacity hint is not finite: " + capacityHint);
+          "endpoint list entry with index "
+              + index
+              + " (from 0): capacity hint is not finite: "
+              + capacityHint);
     }
     return new Endpoint(
         body.endpointId(offset),
--- a/src/main/java/loadbalancer/simulation/LittleEndian.java
+++ b/src/main/java/loadbalancer/simulation/LittleEndian.java
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Reads an endpoint ID: four address bytes and two port bytes. The byte order of address and port
-   * does not matter, as IDs are only compared and written back.
+   * Reads an endpoint ID: four address bytes and two port bytes. They are not interpreted: the ID
+   * only identifies the endpoint, and {@link #putEndpointId} writes the same bytes again.
    */
   static long getEndpointId(byte[] bytes, int offset) {
     return getUnsignedInt(bytes, offset)
--- a/src/test/java/loadbalancer/ArchitectureTest.java
+++ b/src/test/java/loadbalancer/ArchitectureTest.java
@@ -21,6 +21,10 @@
           .onlyDependOnClassesThat()
           .resideInAnyPackage("loadbalancer.model", "java.lang..", "java.util..");
 
+  /**
+   * Keeps clocks, thread pools and sockets out of the policy: it gets the time with each event and
+   * leaves all input and output to its caller.
+   */
   @ArchTest
   static final ArchRule POLICY_DEPENDS_ONLY_ON_MODEL_AND_BASIC_JDK_PACKAGES =
       classes()
@@ -37,6 +41,7 @@
               "java.util.function",
               "java.util.stream");
 
+  /** Covers the clocks and threads in java.lang, which the rule above allows. */
   @ArchTest
   static final ArchRule POLICY_READS_NO_CLOCK_AND_USES_NO_THREAD =
       noClasses()
@@ -72,6 +77,7 @@
           .dependOnClassesThat()
           .resideInAnyPackage("loadbalancer.proxy..", "loadbalancer.benchmark..", "io.netty..");
 
+  /** Keeps the benchmark and its libraries out of the serving program. */
   @ArchTest
   static final ArchRule NO_OTHER_PACKAGE_DEPENDS_ON_BENCHMARK =
       noClasses()
@@ -81,6 +87,7 @@
           .dependOnClassesThat()
           .resideInAnyPackage("loadbalancer.benchmark..", "picocli..", "org.HdrHistogram..");
 
+  /** Within the proxy, only the package loadbalancer.proxy itself may use the policy. */
   @ArchTest
   static final ArchRule PROXY_SUBPACKAGES_DO_NOT_DEPEND_ON_POLICY =
       noClasses()
--- a/src/test/java/loadbalancer/ProjectLayoutTest.java
+++ b/src/test/java/loadbalancer/ProjectLayoutTest.java
@@ -14,8 +14,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks the project's own files: size limits of policy sources, names in the deploy file, and the
- * documentation of packages and classes.
+ * Checks the project's own files: policy sources are within size limits, deploy/balancer.toml names
+ * all policy sources and the jar and class archive that pom.xml builds, each main package has a
+ * package-info, and the classes that docs/ARCHITECTURE.md names exist.
  */
 class ProjectLayoutTest {
 
--- a/src/test/java/loadbalancer/benchmark/BalancerFleetTest.java
+++ b/src/test/java/loadbalancer/benchmark/BalancerFleetTest.java
@@ -27,9 +27,9 @@
 
 /**
  * Several balancer processes share one processor and balance over upstreams, some of which have
- * just started, while some upstreams are replaced and a burst of requests arrives. Checks the
- * response to each request and which upstreams received it. {@code -Dfleet.requests=N} sets how
- * many requests each regular client sends.
+ * just started, while some upstreams are replaced, as in a rolling release, and a burst of requests
+ * arrives. Checks the response to each request and which upstreams received it. {@code
+ * -Dfleet.requests=N} sets how many requests each regular client sends.
  */
 @Timeout(value = 180, unit = TimeUnit.SECONDS)
 class BalancerFleetTest {
@@ -67,7 +67,7 @@
 
   /**
    * Allowance for the time until balancers receive a change: a watch may have to be restarted, and
-   * the machine may be busy.
+   * on a busy machine the processes may have to wait for the processor.
    */
   private static final double NOTIFICATION_SLACK_MILLIS = 750;
 
--- a/src/test/java/loadbalancer/benchmark/FakeClient.java
+++ b/src/test/java/loadbalancer/benchmark/FakeClient.java
@@ -11,8 +11,8 @@
 
 /**
  * A client of one balancer. It keeps its connection and sends one request at a time. It repeats a
- * request, on a new connection, only if a reused connection ended before any byte of the response,
- * as the balancer may close an idle connection at any time.
+ * request, on a new connection, only if a reused connection ended before the head of the response
+ * was complete, as the balancer may close an idle connection at any time.
  */
 final class FakeClient implements AutoCloseable {
 
@@ -75,7 +75,7 @@
               requestClass,
               transactionId,
               0,
-              "the connection ended before any response",
+              "the connection ended before the head of the response was complete",
               millisSince(startNanos));
     }
     if (outcome.status() == 0) {
@@ -120,7 +120,7 @@
     };
   }
 
-  /** Sends a request; returns null if the connection ended before any byte of the response. */
+  /** Sends a request; returns null if the connection ended within or before the response's head. */
   private Outcome exchange(
       RequestClassName requestClass, String transactionId, byte[] request, long startNanos) {
     String head = "";
--- a/src/test/java/loadbalancer/benchmark/FakeUpstream.java
+++ b/src/test/java/loadbalancer/benchmark/FakeUpstream.java
@@ -29,7 +29,10 @@
  */
 final class FakeUpstream implements AutoCloseable {
 
-  /** A received request with the time by {@link System#nanoTime()}, and whether it ran. */
+  /**
+   * A completely received request, the time of its receipt by {@link System#nanoTime()}, and
+   * whether it ran.
+   */
   record Received(
       String transactionId, String idempotencyKey, String body, long atNanos, boolean ran) {}
 
--- a/src/test/java/loadbalancer/benchmark/ServeCommand.java
+++ b/src/test/java/loadbalancer/benchmark/ServeCommand.java
@@ -5,7 +5,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** The command {@code run} of the deploy file, adapted for tests. */
+/** The command {@code run} in deploy/balancer.toml, adapted for tests. */
 final class ServeCommand {
 
   private ServeCommand() {}
--- a/src/test/java/loadbalancer/benchmark/ServingScopeTest.java
+++ b/src/test/java/loadbalancer/benchmark/ServingScopeTest.java
@@ -45,7 +45,8 @@
   }
 
   /**
-   * Starts a balancer with the JVM flags of the deploy file and the libraries of the serving jar.
+   * Starts a balancer with the JVM flags in deploy/balancer.toml and the libraries of the serving
+   * jar.
    */
   @Test
   void servingStartsWithoutBenchmarkWithinClassAndMemoryLimits() throws Exception {
--- a/src/test/java/loadbalancer/simulation/SimulationHostTest.java
+++ b/src/test/java/loadbalancer/simulation/SimulationHostTest.java
@@ -320,6 +320,7 @@
         assertEquals("", run.err);
       }
     }
-    assertTrue(malformedCount > 500, malformedCount + " rejected");
+    assertTrue(
+        malformedCount > 500, malformedCount + " of 4000 inputs rejected, expected over 500");
   }
 }
