--- a/src/main/java/loadbalancer/simulation/EventDecoder.java
+++ b/src/main/java/loadbalancer/simulation/EventDecoder.java
@@ -150,7 +150,7 @@
   private Runnable responseStarted(int recordOffset, LoadBalancingPolicy policy) {
     long requestId = body.signedLong(recordOffset + REQUEST_ID);
     int attempt = body.unsignedShort(recordOffset + STARTED_ATTEMPT);
-    double elapsedMillis = body.finiteDouble(recordOffset + STARTED_ELAPSED_MILLIS, "elapsed time");
+    double elapsedMillis = body.finiteDouble(recordOffset + STARTED_ELAPSED_MILLIS, "elapsed");
     return () -> policy.responseStarted(nowMillis, requestId, attempt, elapsedMillis);
   }
 
@@ -162,7 +162,7 @@
             body.endpointId(recordOffset + FINISHED_ENDPOINT),
             body.attemptOutcome(recordOffset + FINISHED_OUTCOME),
             body.unsignedByte(recordOffset + FINISHED_REQUEST_CLOSED) != 0,
-            body.finiteDouble(recordOffset + FINISHED_ELAPSED_MILLIS, "elapsed time"),
+            body.finiteDouble(recordOffset + FINISHED_ELAPSED_MILLIS, "elapsed"),
             body.loadReport(recordOffset + FINISHED_LOAD_REPORT));
     return () -> policy.attemptFinished(nowMillis, result);
   }
@@ -180,7 +180,7 @@
   private Runnable healthCheckCompleted(int recordOffset, LoadBalancingPolicy policy) {
     long endpointId = body.endpointId(recordOffset + CHECK_ENDPOINT);
     AttemptOutcome outcome = body.attemptOutcome(recordOffset + CHECK_OUTCOME);
-    double elapsedMillis = body.finiteDouble(recordOffset + CHECK_ELAPSED_MILLIS, "elapsed time");
+    double elapsedMillis = body.finiteDouble(recordOffset + CHECK_ELAPSED_MILLIS, "elapsed");
     double[] loadReport = body.loadReport(recordOffset + CHECK_LOAD_REPORT);
     return () ->
         policy.healthCheckCompleted(nowMillis, endpointId, outcome, elapsedMillis, loadReport);
