--- a/src/main/java/loadbalancer/proxy/config/ConfigurationException.java
+++ b/src/main/java/loadbalancer/proxy/config/ConfigurationException.java
@@ -1,8 +1,8 @@
 package loadbalancer.proxy.config;
 
 /**
- * Thrown if the proxy cannot run with its configuration. The message is meant for the operator and
- * says what is wrong and where.
+ * Thrown if the proxy cannot run with its configuration. The message is meant for the operator; it
+ * names the file, if there is one, and what is wrong with it.
  */
 public final class ConfigurationException extends Exception {
 
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -19,13 +19,16 @@
 
   /**
    * The longest time for which a watch asks discovery to wait for an update, in milliseconds. A
-   * watch whose connection is dead is detected only once its response is overdue, and until then
-   * this instance misses updates, of which it may already count as notified; see {@link
-   * DiscoverySettings}.
+   * dead connection is detected only once the response is overdue. Until then the endpoint list
+   * grows stale, although this instance may already count as notified of the updates that it
+   * misses; see {@link DiscoverySettings}.
    */
   public static final int MAX_WATCH_MILLIS = 2_000;
 
-  /** The version while no list of the discovery at the current address has been applied. */
+  /**
+   * The version while no list of the discovery at the current address has been applied, or the last
+   * update may have been applied only in part.
+   */
   private static final long NO_VERSION = -1;
 
   /** Receives the updates of the endpoint list. */
@@ -76,7 +79,7 @@
   /** The version of the list that was applied last, or {@link #NO_VERSION}. */
   private long version;
 
-  /** Whether the policy has started the watch. After a failure it has to restart the watch. */
+  /** Whether the watch was started and not stopped. After a failed call it has to be restarted. */
   private boolean watching;
 
   /** The watch call in progress; null if there is none. */
@@ -259,7 +262,7 @@
       version = NO_VERSION;
       timing.callEnded(true);
     }
-    // The call also counts as failed if the listener restarted the watch and that failed at once.
+    // Also true if the listener restarted the watch and writing the request failed at once.
     if (timing.lastCallFailed()) {
       reportFailure();
     }
--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListParser.java
@@ -43,7 +43,9 @@
     JsonNode version = list.path("version");
     if (!version.isIntegralNumber()) {
       throw new InvalidEndpointListException(
-          "endpoint list: 'version' must be an integer, but is '" + version.asText() + "'");
+          "endpoint list: 'version' must be a JSON integer, but its text is '"
+              + version.asText()
+              + "' (empty if it is missing)");
     }
     List<EndpointListUpdate.Entry> entries = new ArrayList<>(servers.size());
     for (JsonNode server : servers) {
@@ -55,7 +57,8 @@
   private EndpointListUpdate.Entry parseEntry(JsonNode server, int entryIndex) {
     String id = server.path("id").asText("");
     if (id.isEmpty()) {
-      throw new InvalidEndpointListException("endpoint list: entry " + entryIndex + " has no 'id'");
+      throw new InvalidEndpointListException(
+          "endpoint list: servers[" + entryIndex + "] has no 'id' or an empty one");
     }
     EndpointState state = parseState(server.path("state").asText(""), id);
     Endpoint endpoint =
--- a/src/main/java/loadbalancer/proxy/eventloop/DescriptorBudget.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/DescriptorBudget.java
@@ -19,7 +19,10 @@
    */
   private static final int RESERVED_DESCRIPTORS = 64;
 
-  /** One in this many connections is reserved for clients; also the minimum number. */
+  /**
+   * One in this many connections is reserved for clients. At least this many connections are always
+   * allowed, so that one can be reserved.
+   */
   private static final int CLIENT_SHARE_DIVISOR = 5;
 
   /** A client that has been idle for longer than this is unlikely to send a request soon. */
@@ -98,8 +101,8 @@
 
   /**
    * Closes one idle connection and returns whether there was one. Clients that have been idle for
-   * long come first, then connections to endpoints, then other idle clients: a new client
-   * connection costs less than a new connection to an endpoint.
+   * long come first, then connections to endpoints, then other idle clients: reconnecting costs a
+   * client less than it costs an endpoint.
    */
   private boolean evict(double now) {
     return evictClient.test(now - LONG_IDLE_CLIENT_MILLIS)
--- a/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
@@ -46,17 +46,20 @@
   /** The longest iteration since the last report. */
   private long reportMaxMillis;
 
-  /** The longest iteration of the current window and that of the previous one. */
+  /** The duration of the longest iteration in the current window. */
   private long windowMaxNanos;
 
+  /** The duration of the longest iteration in the window before the current one. */
   private long previousWindowMaxNanos;
+
   private long windowStartNanos;
   private boolean iterationStarted;
   private long iterationCount;
 
-  /** When the selector last returned, and when it last returned before the current iteration. */
+  /** When the selector last returned. */
   private long selectedAtNanos;
 
+  /** When the selector last returned before the current iteration began. */
   private long previousSelectedAtNanos;
 
   /**
--- a/src/main/java/loadbalancer/proxy/json/package-info.java
+++ b/src/main/java/loadbalancer/proxy/json/package-info.java
@@ -1,2 +1,2 @@
-/** Reads JSON into Jackson's tree model without its object mapper. Stateless. */
+/** Reads JSON into Jackson's tree model without its object mapper. May be used on any thread. */
 package loadbalancer.proxy.json;
--- a/src/main/java/loadbalancer/proxy/upstream/ConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ConnectionPool.java
@@ -42,7 +42,7 @@
     reuseDelayMillis = options.reuseDelayMillis();
   }
 
-  /** Records the resets of and the responses on reused connections. */
+  /** The limit on the idle time of reused connections, which learns from resets and responses. */
   IdleReuseLimit reuseLimit() {
     return reuseLimit;
   }
--- a/src/main/java/loadbalancer/proxy/upstream/ForwardedRequest.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ForwardedRequest.java
@@ -11,8 +11,8 @@
 final class ForwardedRequest {
 
   /**
-   * The end-to-end headers that are forwarded. All others are dropped, since they concern only the
-   * client's connection.
+   * The end-to-end headers that are forwarded. All others are dropped, such as those that concern
+   * only the client's connection.
    */
   private static final List<String> FORWARDED_HEADERS =
       List.of(
--- a/src/main/java/loadbalancer/proxy/upstream/IdleReuseLimit.java
+++ b/src/main/java/loadbalancer/proxy/upstream/IdleReuseLimit.java
@@ -40,9 +40,9 @@
   private double reusableIdleMillis;
 
   /**
-   * The moving average, from 0 to 1, of how many reused connections were reset. It decays over
-   * time. Every reset raises it; only successes on connections that were not fresh lower it, since
-   * those on fresh ones say nothing about the effect of the idle time.
+   * The moving average, from 0 to 1, of the fraction of reuses that ended in a reset. It decays
+   * over time. Every reset raises it; only successes on connections that were not fresh lower it,
+   * since those on fresh ones say nothing about the effect of the idle time.
    */
   private double resetRate;
 
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamAttempt.java
@@ -121,7 +121,7 @@
     } else if (!listener.isStillWanted()) {
       abort(AttemptOutcome.NOT_SENT);
     } else if (state == State.CONNECTING) {
-      // The state is checked only here since isStillWanted may have ended the attempt.
+      // The state is checked again since isStillWanted may have ended the attempt.
       write(established);
     }
   }
@@ -141,7 +141,8 @@
     connection = acquired;
     writeStartedAtMillis = now;
     idleMillis = acquired.idleMillis(now);
-    // While the connect was pending, another process may have taken the endpoint's place.
+    // The endpoint may have been replaced while the connect was pending, and its former address may
+    // now be that of another endpoint, which must not get the request.
     boolean isSameProcess = endpoint.isSameProcess(acquired.entry());
     if (now >= deadlineMillis || !isSameProcess || !endpoint.acceptsRequests(now)) {
       pool.release(acquired, endpoint);
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamClient.java
@@ -81,7 +81,8 @@
    * now draining or removed.
    *
    * @param notifiedAtMillis the earliest time at which the update may have reached this instance,
-   *     in milliseconds since 1970; the drain grace of the endpoints counts from it
+   *     in milliseconds since 1970; the time in which requests are still written to a draining
+   *     endpoint counts from it
    */
   public void updateEndpoints(EndpointListUpdate update, double notifiedAtMillis) {
     pool.updateEndpoints(update, notifiedAtMillis);
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -110,9 +110,9 @@
   }
 
   /**
-   * Reads what the kernel has received on the connection, and returns whether it is still open.
-   * Otherwise a request could be written to a connection that the endpoint has already closed, and
-   * would count as one that the endpoint may have executed.
+   * Reads what the kernel has received on the connection, and returns whether it is still open
+   * after that. Without the read, a request could be written to a connection that the endpoint has
+   * already closed, and would count as one that the endpoint may have executed.
    */
   boolean isActiveAfterRead() {
     DescriptorBudget.readNow(channel);
@@ -234,7 +234,8 @@
       // Closing calls channelInactive, which notifies the attempt.
       channel.close();
     } else {
-      // The response is too large or malformed, so the endpoint may have executed the request.
+      // The response is too large or is not HTTP. This is not a lost connection: the endpoint has
+      // answered.
       protocolViolation();
     }
   }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectTest.java
@@ -107,7 +107,7 @@
     try (ProxyFixture proxy = new ProxyFixture();
         FullBacklogListener fullListener = new FullBacklogListener()) {
       proxy.connectTimeoutMillis = 15_000;
-      // Requests are written to a draining endpoint only in the first half of its grace.
+      // Requests are written to a draining endpoint only in the first half of its drain grace.
       proxy.drainGraceMillis = drainGraceMillis;
       proxy.policy.onStart = () -> proxy.policy.actions.watchEndpoints(true);
       proxy.start();
@@ -122,7 +122,7 @@
       try (HttpPeer lateConnection = fullListener.acceptAfterBacklog()) {
         assertTrue(
             lateConnection.isClosedByPeer(),
-            "the request was written after the write grace, or the connection was left open");
+            "the request was written after half the drain grace, or the connection was left open");
       }
       assertEquals(AttemptOutcome.CONNECT_FAILED, proxy.policy.nextOutcome());
       assertEquals(502, client.read().status());
