--- a/src/main/java/loadbalancer/proxy/config/InvalidConfigurationValueException.java
+++ b/src/main/java/loadbalancer/proxy/config/InvalidConfigurationValueException.java
@@ -1,9 +1,6 @@
 package loadbalancer.proxy.config;
 
-/**
- * Thrown if a value in the configuration is malformed. The message names its key and what was
- * expected.
- */
+/** Thrown if a configuration value is malformed; names its key and what was expected. */
 public final class InvalidConfigurationValueException extends IllegalArgumentException {
 
   private static final long serialVersionUID = 1;
--- a/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/EventLoopMonitor.java
@@ -62,10 +62,7 @@
   /** When the selector last returned before the current iteration began. */
   private long previousSelectedAtNanos;
 
-  /**
-   * Whether no event was ready when the current iteration began, so that the selector was allowed
-   * to block.
-   */
+  /** Whether the selector was allowed to block in the current iteration, as no event was ready. */
   private boolean blocked;
 
   /**
--- a/src/main/java/loadbalancer/proxy/upstream/ConnectTimeEstimate.java
+++ b/src/main/java/loadbalancer/proxy/upstream/ConnectTimeEstimate.java
@@ -27,8 +27,7 @@
    * Creates an estimate that no measurement has changed yet.
    *
    * @param connectTimeoutMillis the connect timeout
-   * @param initialMedianMillis the initial median; if empty, the one that gives the largest retry
-   *     delay
+   * @param initialMedianMillis the initial median; if empty, that for the largest retry delay
    */
   ConnectTimeEstimate(double connectTimeoutMillis, OptionalDouble initialMedianMillis) {
     maxRetryDelayMillis = connectTimeoutMillis * MAX_RETRY_DELAY_TIMEOUT_FRACTION;
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamClient.java
@@ -37,8 +37,7 @@
     /**
      * Called exactly once, when the attempt has ended.
      *
-     * @param response the complete response, which is released after the call; null if there is
-     *     none
+     * @param response the complete response, released after the call; null if there is none
      */
     void attemptFinished(AttemptOutcome outcome, FullHttpResponse response);
 
@@ -103,8 +102,7 @@
   }
 
   /**
-   * Checks an endpoint's health. If the endpoints send load reports, the body of the response is
-   * one.
+   * Checks an endpoint's health. If endpoints send load reports, the response's body is one.
    *
    * @param deadlineMillis when the check times out, in milliseconds since 1970
    */
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -234,8 +234,7 @@
       // Closing calls channelInactive, which notifies the attempt.
       channel.close();
     } else {
-      // The response is too large or is not HTTP. This is not a lost connection: the endpoint has
-      // answered.
+      // Not a lost connection: the endpoint has answered, but too much or not in HTTP.
       protocolViolation();
     }
   }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamResponseDecoder.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamResponseDecoder.java
@@ -11,8 +11,7 @@
 /**
  * An HTTP response decoder that checks the received bytes before Netty's decoder gets them. Netty's
  * decoder buffers an incomplete line without reporting it, so bytes that arrive while no response
- * is awaited would become the start of the next request's response. Used on the event loop thread
- * only.
+ * is awaited would become the start of the next response. Used on the event loop thread only.
  */
 final class UpstreamResponseDecoder extends HttpResponseDecoder {
 
@@ -71,10 +70,7 @@
     matchedPrefixBytes = 0;
   }
 
-  /**
-   * Makes the decoder take the next bytes as the rest of a response whose start is already
-   * buffered.
-   */
+  /** Makes the decoder take the next bytes as the rest of a response that is partly buffered. */
   void expectResponseContinuation() {
     matchedPrefixBytes = VERSION_PREFIX.length;
   }
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -73,8 +73,7 @@
 
   /**
    * A discovery client without a proxy. It records the type of each update, {@code WATCH_LATE} some
-   * time after the start of a watch, and {@code FREE_DESCRIPTORS} when the client asks to free
-   * descriptors.
+   * time after the start of a watch, and {@code FREE_DESCRIPTORS} when it asks to free descriptors.
    */
   private static final class StandaloneClient implements AutoCloseable {
 
