--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamClient.java
@@ -37,8 +37,7 @@
     /**
      * Called exactly once, when the attempt has ended.
      *
-     * @param response the complete response, which is released after the call; null if there is
-     *     none
+     * @param response the complete response, released after the call; null if there is none
      */
     void attemptFinished(AttemptOutcome outcome, FullHttpResponse response);
 
@@ -81,7 +80,8 @@
    * now draining or removed.
    *
    * @param notifiedAtMillis the earliest time at which the update may have reached this instance,
-   *     in milliseconds since 1970; the drain grace of the endpoints counts from it
+   *     in milliseconds since 1970; the time in which requests are still written to a draining
+   *     endpoint counts from it
    */
   public void updateEndpoints(EndpointListUpdate update, double notifiedAtMillis) {
     pool.updateEndpoints(update, notifiedAtMillis);
@@ -102,8 +102,7 @@
   }
 
   /**
-   * Checks an endpoint's health. If the endpoints send load reports, the body of the response is
-   * one.
+   * Checks an endpoint's health. If endpoints send load reports, the response's body is one.
    *
    * @param deadlineMillis when the check times out, in milliseconds since 1970
    */
