--- a/src/main/java/loadbalancer/policy/Attempt.java
+++ b/src/main/java/loadbalancer/policy/Attempt.java
@@ -72,7 +72,7 @@
     return streaming;
   }
 
-  /** Whether this attempt was counted as a late call while it was running. */
+  /** Whether this attempt was recorded as a late attempt while it was running. */
   boolean isReportedLate() {
     return reportedLate;
   }
--- a/src/main/java/loadbalancer/policy/DiscoveryRefresh.java
+++ b/src/main/java/loadbalancer/policy/DiscoveryRefresh.java
@@ -21,15 +21,14 @@
   private static final double MAX_BACKOFF_POLL_SHARE = 0.1;
 
   /**
-   * Longest backoff as a share of the drain grace, where discovery pushes updates without being
-   * asked: an update counts as notified even while no watch is open, and has to be acted on within
-   * the drain grace.
+   * Longest backoff as a share of the drain grace, where discovery is a local agent: an update
+   * counts as notified even while no watch is open, and has to be acted on within the drain grace.
    */
   private static final double MAX_BACKOFF_DRAIN_GRACE_SHARE = 0.25;
 
   /**
    * Longest backoff: the platform counts an update as notified at the latest 6 s after discovery
-   * had it and could be reached, even if it has not arrived.
+   * had it and could be reached, or after a watch fell silent, even if it has not arrived.
    */
   private static final double MAX_BACKOFF_MILLIS = 1_000;
 
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoverySettings.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoverySettings.java
@@ -7,9 +7,10 @@
  * The settings of a {@link DiscoveryClient}.
  *
  * @param address the address of discovery; a configuration reload may change it later
- * @param explicitWatch whether the policy starts the watch itself. Otherwise the proxy starts it,
- *     and by the platform's rules this instance counts as notified of an update at the latest 6 s
- *     after discovery had it, even if the update has not arrived
+ * @param explicitWatch whether the policy starts the watch itself. Otherwise the proxy starts it
+ *     and discovery is a local agent. By the platform's rules, an update then counts as notified
+ *     from the moment the agent has it, whether or not a watch is open. One that a silent watch
+ *     missed counts as notified at the latest 6 s after the watch fell silent
  * @param zones the names of the zones, at the index that the policy uses for each
  * @param machineTypes the names of the machine types, at the index that the policy uses for each
  * @param seed the seed of the random wait times of watches; differs between instances
--- a/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ClientConnection.java
@@ -39,13 +39,13 @@
 
   private static final String HEALTH_CHECK_PATH = "/_health";
 
-  /**
-   * Limits what {@link #isConnected} reads. More than the kernel buffers for a connection, so that
-   * only a client that keeps sending reaches it.
-   */
+  /** Limits what {@link #isConnected} reads. More than the kernel buffers for a connection. */
   private static final int MAX_UNREAD_BYTES = 16 * 1024 * 1024;
 
-  /** Longest time from the first byte of a request to its last. */
+  /**
+   * Longest time to receive a request: counted from the accept for the connection's first request,
+   * otherwise from the request's first byte or the preceding response, whichever is later.
+   */
   private static final double REQUEST_TIMEOUT_MILLIS = 2_300;
 
   /** Longest time from the accept to the first byte of a request. */
@@ -113,7 +113,7 @@
     channel.close();
   }
 
-  /** When it was accepted, last responded to, or began to receive the request that is arriving. */
+  /** The latest of the accept, the last response, and the first byte of the request after it. */
   double lastActivityAtMillis() {
     return lastActivityAtMillis;
   }
@@ -164,8 +164,8 @@
 
   /**
    * Reads all that the kernel holds: a disconnect shows only after the bytes sent before it. A
-   * client that sends without end counts as connected. While a request is being dispatched, nothing
-   * is read, since the connection was checked just before the dispatch.
+   * client that keeps sending beyond {@link #MAX_UNREAD_BYTES} counts as connected. While a request
+   * is being dispatched, nothing is read, since the connection was checked just before.
    */
   @Override
   public boolean isConnected() {
--- a/src/main/java/loadbalancer/proxy/frontend/RequestHeadValidator.java
+++ b/src/main/java/loadbalancer/proxy/frontend/RequestHeadValidator.java
@@ -59,7 +59,9 @@
   }
 
   /**
-   * Validates the headers that give the length of the body.
+   * Validates the headers that give the length of the body. Netty's decoder has already refused
+   * most malformed values of Content-Length ("malformed HTTP"); "Content-Length is no length" is
+   * left for the few that it accepts, such as a number of 19 digits.
    *
    * @throws BadRequestException if Transfer-Encoding occurs with Content-Length, with another value
    *     than chunked or in HTTP/1.0 ("the end of the body is in doubt"), if Content-Length is not a
--- a/src/test/java/loadbalancer/ProjectLayoutTest.java
+++ b/src/test/java/loadbalancer/ProjectLayoutTest.java
@@ -60,8 +60,8 @@
   }
 
   /**
-   * If the archive that the command names did not exist, every start would be slower, and only a
-   * log line would report it.
+   * If the archive that the command names did not exist, every start would be slower and nothing
+   * would report it: with -Xshare:auto, JDK 17 prints nothing about a missing archive file.
    */
   @Test
   void runCommandUsesTheJarAndTheClassArchiveThatTheBuildWrites() throws IOException {
--- a/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -119,7 +119,10 @@
     }
     assertTrue(
         harness.rejected.size() > rejectedBefore,
-        harness.rejected.size() + " rejected, but none of the 20 requests of the second phase");
+        rejectedBefore
+            + " requests rejected before the second phase, still "
+            + harness.rejected.size()
+            + " after its 20 requests");
   }
 
   @Test
--- a/src/test/java/loadbalancer/policy/DiscoveryRefreshTest.java
+++ b/src/test/java/loadbalancer/policy/DiscoveryRefreshTest.java
@@ -45,7 +45,8 @@
       harness.updateEndpoints(EndpointUpdateType.DELTA, TestSettings.endpoint(2));
       backoffsMillis[seed][6] = backoffAfterFailedCallMillis(harness);
       // The platform counts an update as notified at the latest 6 s after discovery had it and
-      // could be reached. These backoffs leave time for a silent watch of 2 s and two failed calls.
+      // could be reached, or after a watch fell silent. These backoffs leave time for a silent
+      // watch of 2 s and two failed calls.
       assertTrue(
           backoffsMillis[seed][0] + backoffsMillis[seed][1] < 1_000,
           Arrays.toString(backoffsMillis[seed]));
--- a/src/test/java/loadbalancer/policy/EmbeddingExampleTest.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingExampleTest.java
@@ -55,6 +55,7 @@
             source.indexOf("  // example ends"));
     assertTrue(
         Files.readString(Path.of("README.md"))
-            .contains("```java\n" + exampleCode.indent(-2) + "```"));
+            .contains("```java\n" + exampleCode.indent(-2) + "```"),
+        "README.md does not contain the example of EmbeddingExampleTest.java");
   }
 }
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -304,9 +304,9 @@
         HttpPeer silentWatch = fixture.discovery.accept();
         assertEquals(0, assertWatchRequest(41, silentWatch));
         silentWatch.write(ProxyFixture.okResponse(ProxyFixture.endpointList(41, false)));
-        // By the platform's rules, an instance counts as notified of an update at the latest 6 s
-        // after discovery had it, even if the update has not arrived. A dead watch must have timed
-        // out and been replaced by then, so its wait is at most 2 s.
+        // By the platform's rules, an update that a silent watch missed counts as notified at the
+        // latest 6 s after the watch fell silent. A dead watch must have timed out and been
+        // replaced by then, so its wait is at most 2 s.
         int waitMillis = assertWatchRequest(41, silentWatch);
         assertTrue(waitMillis > 0 && waitMillis <= 2_000);
         HttpPeer watch = fixture.discovery.accept();
