--- a/src/main/java/loadbalancer/benchmark/BenchmarkMain.java
+++ b/src/main/java/loadbalancer/benchmark/BenchmarkMain.java
@@ -15,8 +15,9 @@
     name = "load-balancer-benchmark",
     mixinStandardHelpOptions = true,
     description =
-        "Measures how costs grow with the endpoint list and the number of balancers."
-            + " Prints a line of JSON for each measured point.",
+        "Measures how processor time, memory and discovery traffic grow with the length of the"
+            + " endpoint list and the number of balancers. Prints a line of JSON for each measured"
+            + " point.",
     subcommands = {
       CallsCommand.class,
       ControlCommand.class,
--- a/src/main/java/loadbalancer/benchmark/ProcessesCommand.java
+++ b/src/main/java/loadbalancer/benchmark/ProcessesCommand.java
@@ -15,7 +15,8 @@
 /**
  * Measures real balancers, started with the command {@code run} in deploy/balancer.toml, with
  * endpoint lists of different lengths: time and processor time until they are ready, processor time
- * per further full list, and memory at rest, after these lists and with open client connections.
+ * per further full list, and memory in up to three states: at rest, after these lists, and with
+ * open client connections.
  */
 @Command(
     name = "processes",
--- a/src/main/java/loadbalancer/policy/DiscoveryRefresh.java
+++ b/src/main/java/loadbalancer/policy/DiscoveryRefresh.java
@@ -39,14 +39,15 @@
   private static final int STALE_LIST_REJECTIONS = 3;
 
   /**
-   * Least time since the last contact with discovery before a suspect watch is restarted, as a
-   * share of the poll interval.
+   * Least time since the last contact with discovery before a watch whose list is suspect is
+   * restarted, as a share of the poll interval.
    */
   private static final double STALENESS_POLL_SHARE = 0.3;
 
   /**
-   * Growth of that time with each restart of a suspect watch until an update arrives: an endpoint
-   * that has crashed but is still listed looks like a stale list, and a restart does not help then.
+   * Factor by which the least time before a restart ({@link #STALENESS_POLL_SHARE}) grows with each
+   * restart of a watch whose list is suspect, until an update arrives: an endpoint that has crashed
+   * but is still listed looks like a stale list, and a restart does not help then.
    */
   private static final double STALENESS_BACKOFF_FACTOR = 2;
 
--- a/src/main/java/loadbalancer/policy/EndpointCost.java
+++ b/src/main/java/loadbalancer/policy/EndpointCost.java
@@ -70,9 +70,10 @@
   private static final double CONNECTION_PENALTY_FACTOR = 200;
 
   /**
-   * An endpoint in a restricted placement costs requests of other placements more. The relative
-   * increase is this times the sum of the overload level of that placement, 0 to 0.95, and {@link
-   * #RESTRICTED_PLACEMENT_BASE_LEVEL}.
+   * Request classes with a restricted placement may be sent to some zones or machine types only. An
+   * endpoint that they may be sent to is more expensive for requests of all other placements: the
+   * relative increase is this times the sum of the overload level of the restricted placement, 0 to
+   * 0.95, and {@link #RESTRICTED_PLACEMENT_BASE_LEVEL}.
    */
   private static final double RESTRICTED_PLACEMENT_PENALTY_FACTOR = 40;
 
--- a/src/main/java/loadbalancer/policy/HedgingPolicy.java
+++ b/src/main/java/loadbalancer/policy/HedgingPolicy.java
@@ -19,7 +19,7 @@
   private static final double MIN_SLOW_RATIO = 1.5;
   private static final double MAX_SLOW_RATIO = 10;
 
-  /** Share of the attempts that are slow. */
+  /** The slow ratio is adjusted so that this share of the attempts exceeds it. */
   private static final double SLOW_SHARE = 0.05;
 
   /** Step size of the percentile estimate, relative to its value. */
--- a/src/main/java/loadbalancer/policy/OverloadDetector.java
+++ b/src/main/java/loadbalancer/policy/OverloadDetector.java
@@ -112,7 +112,8 @@
    * that hangs is no reason to reject requests that others can serve.
    *
    * <p>The attempt does not show the effect of what has been rejected since it was sent. Therefore
-   * it raises the level only to a limited amount above the rejected share of that time.
+   * it raises the level at most to a limited amount above the share that was being rejected when it
+   * was sent, see {@link Attempt#rejectedShareAtSend}.
    */
   void recordLate(Attempt attempt, List<EndpointStatistics> readyEndpoints, double now) {
     attempt.endpoint().recordLateness(true, now);
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -52,7 +52,7 @@
     this.settings = settings;
   }
 
-  /** Extends the time in which slow start is active by the warm-up of a newly listed endpoint. */
+  /** Keeps slow start active at least until the end of the warm-up of a newly listed endpoint. */
   void endpointAdded(Endpoint endpoint) {
     if (endpoint.startedAtMillis() != 0) {
       warmUpEndsAtMillis =
--- a/src/main/java/loadbalancer/proxy/InFlightExchange.java
+++ b/src/main/java/loadbalancer/proxy/InFlightExchange.java
@@ -149,7 +149,9 @@
 
   /**
    * Closes the exchange: the request has its final response or needs none. Attempts that still wait
-   * for a connection are abandoned, even where the policy may not cancel a written attempt.
+   * for a connection are abandoned, as nothing of them is written, even if the settings do not
+   * allow the policy to cancel running attempts ({@link
+   * loadbalancer.model.LimitSettings#cancellation()}).
    */
   void close() {
     responder = null;
--- a/src/main/java/loadbalancer/proxy/PolicyDriver.java
+++ b/src/main/java/loadbalancer/proxy/PolicyDriver.java
@@ -205,7 +205,7 @@
     return exchange;
   }
 
-  /** Guards against a policy that leaves a request without its final response. */
+  /** Guards against a policy that sends no final response: answers 504, logs the internal ID. */
   private void failOverdue(InFlightExchange exchange) {
     if (exchange.isAwaitingResponse()) {
       ProxyLogger.LOGGER.warning("request overdue: id=" + exchange.id());
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -162,6 +162,11 @@
     driver.start();
   }
 
+  /**
+   * Logs the number of the event loop's iterations since the last report and how long they took,
+   * see {@link EventLoopMonitor.Report}. The interval and the threshold of the report are {@link
+   * #LATENESS_REPORT_INTERVAL_MILLIS} and {@link #LATENESS_REPORT_THRESHOLD_MILLIS}.
+   */
   private void reportLateness() {
     EventLoopMonitor.Report report = monitor.report();
     if (report.maxMillis() > LATENESS_REPORT_THRESHOLD_MILLIS) {
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -249,7 +249,8 @@
   }
 
   /**
-   * Passes an update to the listener. If the listener throws an exception, it is unknown how much
+   * Passes an update to the listener. If the listener throws an exception, that is logged as
+   * "endpoint list update could not be applied" with its stack trace. It is then unknown how much
    * of the update was applied, so the next watch call requests the full list.
    */
   private void apply(EndpointListUpdate update) {
--- a/src/test/java/loadbalancer/ProjectLayoutTest.java
+++ b/src/test/java/loadbalancer/ProjectLayoutTest.java
@@ -53,7 +53,10 @@
             .collect(Collectors.joining(", ", "[", "]"));
     assertEquals(policyFileList, value(deploy, "policy"));
     Matcher jar = Pattern.compile("-jar target/(\\S+)\\.jar wire").matcher(value(deploy, "sim"));
-    assertTrue(jar.find(), "the command sim in deploy/balancer.toml starts no jar");
+    assertTrue(
+        jar.find(),
+        "the command sim in deploy/balancer.toml must contain '-jar target/NAME.jar wire', but is: "
+            + value(deploy, "sim"));
     String pom = Files.readString(Path.of("pom.xml"));
     assertTrue(pom.contains("<finalName>" + jar.group(1) + "</finalName>"));
     assertTrue(value(deploy, "build").contains("mvn "));
@@ -68,12 +71,18 @@
     String run = value(Files.readString(Path.of("deploy/balancer.toml")), "run");
     String pom = Files.readString(Path.of("pom.xml"));
     Matcher archive = Pattern.compile("-XX:SharedArchiveFile=(\\S+)").matcher(run);
-    assertTrue(archive.find(), "the command run in deploy/balancer.toml uses no class archive");
+    assertTrue(
+        archive.find(),
+        "the command run in deploy/balancer.toml must contain '-XX:SharedArchiveFile=FILE',"
+            + " but is: "
+            + run);
     assertTrue(
         pom.contains("<arg line=\"" + archive.group(1) + " ${java.home}/bin/java\"/>"),
         archive.group(1) + " is not written by pom.xml");
     Matcher command = Pattern.compile("-jar (\\S+) serve").matcher(run);
-    assertTrue(command.find(), "the command run in deploy/balancer.toml starts no jar");
+    assertTrue(
+        command.find(),
+        "the command run in deploy/balancer.toml must contain '-jar FILE serve', but is: " + run);
     assertTrue(
         pom.contains("<arg line=\"-jar " + command.group(1) + " serve\"/>"),
         "pom.xml records the class archive from another jar than " + command.group(1));
--- a/src/test/java/loadbalancer/proxy/LateEventLoopTest.java
+++ b/src/test/java/loadbalancer/proxy/LateEventLoopTest.java
@@ -218,7 +218,8 @@
     try (ProxyFixture fixture = new ProxyFixture();
         FullBacklogListener fullListener = new FullBacklogListener()) {
       fixture.connectTimeoutMillis = 15_000;
-      // The update stays unread until after the part of the grace period that sending may use.
+      // Requests may be written to the draining endpoint in the first half of the grace period. The
+      // update is read only after that.
       fixture.drainGraceMillis = BLOCKED_MILLIS;
       HttpPeer watch = startWatching(fixture);
       watch.write(
