--- a/src/main/java/loadbalancer/policy/EndpointCost.java
+++ b/src/main/java/loadbalancer/policy/EndpointCost.java
@@ -112,19 +112,20 @@
       double now) {
     endpoint.decay(now);
     double successRate = endpoint.successRate(request.classStatistics().index());
-    double cost = latencyWithFailuresMillis(endpoint, request, successRate);
-    cost *= failureFactor(successRate);
-    cost *= 1 + COST_INCREASE_PER_ATTEMPT_IN_FLIGHT * endpoint.inFlightCount();
-    cost += overdueCostMillis(endpoint, now);
-    cost *= queueingFactor(endpoint, request);
+    // Added after the in-flight factor, the overdue cost is multiplied only by the factors below.
+    double costMillis = latencyWithFailuresMillis(endpoint, request, successRate);
+    costMillis *= failureFactor(successRate);
+    costMillis *= 1 + COST_INCREASE_PER_ATTEMPT_IN_FLIGHT * endpoint.inFlightCount();
+    costMillis += overdueCostMillis(endpoint, now);
+    costMillis *= queueingFactor(endpoint, request);
     if (endpoint.listedEndpoint().zone() != zone) {
-      cost *= 1 + crossZonePenalty;
+      costMillis *= 1 + crossZonePenalty;
     }
     if (!endpoint.isInSubset()) {
-      cost *= outsideSubsetFactor(attemptsPerEndpoint);
+      costMillis *= outsideSubsetFactor(attemptsPerEndpoint);
     }
-    cost = withRestrictedPlacementPenalty(cost, endpoint, request);
-    return cost / slowStart.warmUpFraction(endpoint, now);
+    costMillis = withRestrictedPlacementPenalty(costMillis, endpoint, request);
+    return costMillis / slowStart.warmUpFraction(endpoint, now);
   }
 
   /**
--- a/src/main/java/loadbalancer/policy/EndpointEligibility.java
+++ b/src/main/java/loadbalancer/policy/EndpointEligibility.java
@@ -30,6 +30,7 @@
         && (!request.hasRunningAttempt() || limits.parallelAttempts());
   }
 
+  /** Whether no earlier attempt may have run, or the target may be sent a repeat nonetheless. */
   private boolean mayRepeat(InFlightRequest request, Endpoint target, double now) {
     Attempt firstAttempt = request.firstAttemptThatMayHaveRun();
     RequestClass requestClass = request.requestClass();
--- a/src/main/java/loadbalancer/policy/EndpointList.java
+++ b/src/main/java/loadbalancer/policy/EndpointList.java
@@ -48,6 +48,7 @@
             .toList();
   }
 
+  /** Applies the update of one endpoint; {@code previous} is null if it was not listed before. */
   private void apply(Endpoint update, EndpointStatistics previous, double now) {
     if (update.state() == EndpointState.REMOVED) {
       endpoints.remove(update.id());
--- a/src/main/java/loadbalancer/policy/EndpointSelector.java
+++ b/src/main/java/loadbalancer/policy/EndpointSelector.java
@@ -54,6 +54,7 @@
         : selected;
   }
 
+  /** Selects a warming endpoint that is due, otherwise one at random by weight; null if none. */
   private EndpointStatistics select(
       InFlightRequest request,
       List<EndpointStatistics> readyEndpoints,
--- a/src/main/java/loadbalancer/policy/EndpointSubset.java
+++ b/src/main/java/loadbalancer/policy/EndpointSubset.java
@@ -53,6 +53,7 @@
     }
   }
 
+  /** A pseudorandom sort key, 0 to 1, that depends only on the endpoint ID and the round. */
   private static double shuffleKey(EndpointStatistics endpoint, long round) {
     return new SplittableRandom(endpoint.listedEndpoint().id() * SEED_MULTIPLIER + round)
         .nextDouble();
--- a/src/main/java/loadbalancer/policy/HedgingPolicy.java
+++ b/src/main/java/loadbalancer/policy/HedgingPolicy.java
@@ -93,6 +93,7 @@
         && request.usefulUntilMillis() - now > request.expectedLatencyMillis();
   }
 
+  /** Whether the class of the request allows hedging or abandoning a slow attempt. */
   private static boolean isRepeatable(InFlightRequest request) {
     return request.requestClass().idempotency() != Idempotency.AT_MOST_ONCE
         && !request.requestClass().streamed();
--- a/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
+++ b/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
@@ -101,7 +101,7 @@
     }
     slowStart.grantBudget(request, endpointList.ready(), subset.stride(), now);
     keyedRequests.add(request);
-    dispatch(request, now);
+    sendQueueOrReject(request, now);
   }
 
   /**
@@ -111,7 +111,7 @@
    * It is rejected or fails if it may not be queued, or if the selection left out an endpoint
    * because of the {@link QueueingLimit}.
    */
-  private void dispatch(InFlightRequest request, double now) {
+  private void sendQueueOrReject(InFlightRequest request, double now) {
     double latestSendMillis = PendingRequests.latestSendMillis(request);
     PendingRequests.limitQueueTime(request, latestSendMillis);
     boolean isFirstOfKey = KeyedRequestQueue.isFirstOfKey(request);
@@ -129,9 +129,16 @@
     }
   }
 
-  private void dispatchQueued(InFlightRequest request, double now) {
+  /**
+   * Tries again to send the first attempt of a queued request. Called when its queue timer expires.
+   *
+   * <p>While the selections of its class are postponed, this only sets the timer again. If no
+   * endpoint can be selected, the request stays queued and the selections of its class are
+   * postponed; or it is rejected or fails, see {@link #sendQueueOrReject}.
+   */
+  private void trySendQueued(InFlightRequest request, double now) {
     if (pendingRequests.maySelect(request, now)) {
-      dispatch(request, now);
+      sendQueueOrReject(request, now);
       if (!request.isDone() && request.attempts().isEmpty()) {
         PendingRequests.selectionFailed(request, now);
       }
@@ -140,6 +147,10 @@
 
   // ---- Attempts
 
+  /**
+   * Sends an attempt to the endpoint, with a timer for hedging it or else a timeout that may leave
+   * time for a retry. Also sets the timer that detects a late attempt, if these are monitored.
+   */
   private void send(InFlightRequest request, EndpointStatistics endpoint, double now) {
     double rejectedShareAtSend =
         request.classStatistics().placementGroup().overload().rejectedShare();
@@ -180,7 +191,7 @@
     switch (kind) {
       case QUEUE -> {
         if (request.attempts().isEmpty()) {
-          dispatchQueued(request, now);
+          trySendQueued(request, now);
         }
       }
       case LATE_ATTEMPT ->
@@ -232,7 +243,7 @@
       finish(request, now);
     } else if (!request.hasRunningAttempt()) {
       if (retryPolicy.tryAcquireRetry(result.outcome())) {
-        dispatch(request, now);
+        sendQueueOrReject(request, now);
       } else {
         rejectOrFail(request, now);
       }
@@ -297,7 +308,7 @@
     } else if (requestsById.remove(request.id()) != null) {
       InFlightRequest nextOfKey = keyedRequests.release(request);
       if (nextOfKey != null) {
-        dispatch(nextOfKey, now);
+        sendQueueOrReject(nextOfKey, now);
       }
     }
   }
--- a/src/main/java/loadbalancer/policy/RetryBudget.java
+++ b/src/main/java/loadbalancer/policy/RetryBudget.java
@@ -14,7 +14,7 @@
   private double tokens = MAX_TOKENS;
 
   void requestArrived() {
-    add(TOKENS_PER_REQUEST);
+    addTokens(TOKENS_PER_REQUEST);
   }
 
   /**
@@ -22,7 +22,7 @@
    * endpoints fail, so that another one may follow.
    */
   void retryOrHedgeServed() {
-    add(1);
+    addTokens(1);
   }
 
   boolean hasToken() {
@@ -33,7 +33,7 @@
     tokens -= 1;
   }
 
-  private void add(double earnedTokens) {
+  private void addTokens(double earnedTokens) {
     tokens = Math.min(MAX_TOKENS, tokens + earnedTokens);
   }
 }
--- a/src/main/java/loadbalancer/policy/SheddingPlan.java
+++ b/src/main/java/loadbalancer/policy/SheddingPlan.java
@@ -16,8 +16,11 @@
   /** Number of upper bounds that are tried: 1/10, 2/10 ... 1. */
   private static final int MAX_SHARE_STEPS = 10;
 
-  /** A plan may leave 1/1000 of the group's work unassigned, to allow for rounding errors. */
-  private static final double ROUNDING_TOLERANCE_DIVISOR = 1_000;
+  /**
+   * The group's total work divided by this is the work that a plan may leave unassigned, to allow
+   * for rounding errors.
+   */
+  private static final double TOTAL_WORK_TOLERANCE_DIVISOR = 1_000;
 
   private final RequestClassValue classValue;
   private final double worstClassWeight;
@@ -54,7 +57,7 @@
                 * classValue.value(leastValuableFirst[i])
                 / totalValue;
       }
-      if (unassignedWork < totalWork / ROUNDING_TOLERANCE_DIVISOR && loss < leastLoss) {
+      if (unassignedWork < totalWork / TOTAL_WORK_TOLERANCE_DIVISOR && loss < leastLoss) {
         leastLoss = loss;
         setRejectedShares(rejectedShares, leastValuableFirst);
       }
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -37,13 +37,13 @@
    * allowed endpoints have once warm, divided by this. The bound limits the budgets while all
    * endpoints are warming up.
    */
-  private static final double MIN_CAPACITY_DIVISOR = 2.0;
+  private static final double WARM_CAPACITY_DIVISOR = 2.0;
 
   /**
    * Halves the increase of the budgets within the subset: an instance with most of the traffic
    * would otherwise overload the warming endpoints of its subset.
    */
-  private static final double SUBSET_SHIFT_DIVISOR = 2.0;
+  private static final double SUBSET_BUDGET_INCREASE_DIVISOR = 2.0;
 
   private final PolicySettings settings;
   private double warmUpEndsAtMillis = Double.NEGATIVE_INFINITY;
@@ -71,9 +71,9 @@
    * linearly over the warm-up and is 1 if the start of the endpoint is unknown or long ago.
    */
   double warmUpFraction(EndpointStatistics endpoint, double now) {
-    double startedAt = endpoint.listedEndpoint().startedAtMillis();
-    double uptimeMillis = now - startedAt;
-    if (startedAt == 0 || uptimeMillis >= settings.rules().warmUpMillis()) {
+    double startedAtMillis = endpoint.listedEndpoint().startedAtMillis();
+    double uptimeMillis = now - startedAtMillis;
+    if (startedAtMillis == 0 || uptimeMillis >= settings.rules().warmUpMillis()) {
       return 1;
     }
     double initialFraction = settings.rules().initialCapacity();
@@ -116,11 +116,11 @@
         allowed.stream().mapToDouble(endpoint -> warmUpFraction(endpoint, now)).sum();
     double budgetPerCapacity =
         Math.min(1, COLLAPSE_BUDGET_SHARE * settings.rules().collapseMultiple())
-            / Math.max(presentCapacity, allowed.size() / MIN_CAPACITY_DIVISOR);
+            / Math.max(presentCapacity, allowed.size() / WARM_CAPACITY_DIVISOR);
     double insideFactor =
         1
             + (Math.min(subsetStride, settings.instanceCount()) - 1)
-                / SUBSET_SHIFT_DIVISOR
+                / SUBSET_BUDGET_INCREASE_DIVISOR
                 * presentCapacity
                 / allowed.size();
     double outsideFactor = (subsetStride - insideFactor) / Math.max(1, subsetStride - 1);
--- a/src/main/java/loadbalancer/proxy/PolicyDriver.java
+++ b/src/main/java/loadbalancer/proxy/PolicyDriver.java
@@ -162,7 +162,7 @@
    * @throws IllegalStateException if the policy threw an exception: the caller has to fetch the
    *     whole list again
    */
-  private void endpointsUpdated(EndpointUpdateType type, EndpointListUpdate update) {
+  private void endpointsUpdated(EndpointUpdateType updateType, EndpointListUpdate update) {
     List<Endpoint> endpoints = update == null ? List.of() : update.endpoints();
     if (update != null) {
       upstreams.updateEndpoints(update, discoveryReader.earliestArrivalMillis());
@@ -171,7 +171,7 @@
     enqueue(
         null,
         () -> {
-          policy.endpointsChanged(clock.now(), type, endpoints);
+          policy.endpointsChanged(clock.now(), updateType, endpoints);
           acceptedByPolicy[0] = true;
         });
     if (update == null) {
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -38,10 +38,10 @@
      * Applies an update, or handles a failed call. If this throws an exception for an update, the
      * call counts as failed.
      *
-     * @param type {@code FULL}, {@code DELTA} or {@code FAILED}
+     * @param updateType {@code FULL}, {@code DELTA} or {@code FAILED}
      * @param update the update; null if the call failed
      */
-    void onUpdate(EndpointUpdateType type, EndpointListUpdate update);
+    void onUpdate(EndpointUpdateType updateType, EndpointListUpdate update);
   }
 
   private final DiscoveryTransport transport;
--- a/src/main/java/loadbalancer/proxy/discovery/WatchTiming.java
+++ b/src/main/java/loadbalancer/proxy/discovery/WatchTiming.java
@@ -8,8 +8,8 @@
  */
 final class WatchTiming {
 
-  /** The longest wait divided by the shortest. */
-  private static final int MIN_WAIT_DIVISOR = 2;
+  /** The shortest wait is the longest one divided by this. */
+  private static final int MAX_WAIT_DIVISOR = 2;
 
   /** How long after the end of the wait the response may still arrive. */
   private static final int RESPONSE_GRACE_MILLIS = 1_000;
@@ -54,7 +54,7 @@
     if (lastCallFailed || !(listConfirmed || explicitWatch)) {
       return 0;
     }
-    return random.nextInt(maxWaitMillis / MIN_WAIT_DIVISOR, maxWaitMillis + 1);
+    return random.nextInt(maxWaitMillis / MAX_WAIT_DIVISOR, maxWaitMillis + 1);
   }
 
   /**
--- a/src/main/java/loadbalancer/proxy/eventloop/DescriptorBudget.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/DescriptorBudget.java
@@ -23,7 +23,7 @@
    * One in this many connections is reserved for clients. At least this many connections are always
    * allowed, so that one can be reserved.
    */
-  private static final int CLIENT_SHARE_DIVISOR = 5;
+  private static final int CONNECTIONS_PER_CLIENT_RESERVATION = 5;
 
   /** A client that has been idle for longer than this is unlikely to send a request soon. */
   private static final double LONG_IDLE_CLIENT_MILLIS = 300;
@@ -32,7 +32,7 @@
   private static final int ACCEPT_BATCH = 16;
 
   /** At most one in this many connections is kept free for a batch of new clients. */
-  private static final int SPARE_SHARE_DIVISOR = 10;
+  private static final int CONNECTIONS_PER_SPARE = 10;
 
   private final int maxConnections;
   private int openConnections;
@@ -45,7 +45,8 @@
    * @param maxDescriptors how many descriptors the process may hold
    */
   public DescriptorBudget(int maxDescriptors) {
-    maxConnections = Math.max(CLIENT_SHARE_DIVISOR, maxDescriptors - RESERVED_DESCRIPTORS);
+    maxConnections =
+        Math.max(CONNECTIONS_PER_CLIENT_RESERVATION, maxDescriptors - RESERVED_DESCRIPTORS);
   }
 
   /** Sets the action that closes one idle upstream connection and returns whether it did. */
@@ -68,7 +69,8 @@
    * @param now the time in milliseconds
    */
   public boolean hasRoomForUpstream(double now) {
-    return openConnections < maxConnections - maxConnections / CLIENT_SHARE_DIVISOR || evict(now);
+    return openConnections < maxConnections - maxConnections / CONNECTIONS_PER_CLIENT_RESERVATION
+        || evict(now);
   }
 
   /**
@@ -78,7 +80,7 @@
    * @param now the time in milliseconds
    */
   public boolean canAcceptClient(double now) {
-    int spare = Math.min(ACCEPT_BATCH, maxConnections / SPARE_SHARE_DIVISOR);
+    int spare = Math.min(ACCEPT_BATCH, maxConnections / CONNECTIONS_PER_SPARE);
     boolean evicted = true;
     while (evicted && openConnections >= maxConnections - spare) {
       evicted = evict(now);
