--- a/src/main/java/loadbalancer/benchmark/CallsCommand.java
+++ b/src/main/java/loadbalancer/benchmark/CallsCommand.java
@@ -24,7 +24,7 @@
     name = "calls",
     description =
         "Measures what a request, a change of one endpoint and a full endpoint list cost the policy,"
-            + " against the length of the list.",
+            + " depending on the length of that list.",
     mixinStandardHelpOptions = true)
 final class CallsCommand implements Callable<Integer> {
 
@@ -34,7 +34,10 @@
   private static final int MAX_REPEATS = 50;
   private static final int COUNTED_REQUESTS = 200;
 
-  /** Fixed, like the seed, so that the counts of operations don't depend on --rate and --seed. */
+  /**
+   * Requests per second of the run that counts operations. Fixed, like its seed, so that the counts
+   * don't depend on --rate and --seed.
+   */
   private static final double COUNTING_RATE = 147;
 
   private static final long COUNTING_SEED = 1;
--- a/src/main/java/loadbalancer/benchmark/ControlCommand.java
+++ b/src/main/java/loadbalancer/benchmark/ControlCommand.java
@@ -18,7 +18,7 @@
     name = "control",
     description =
         "Measures what it costs to distribute the endpoint list and its changes from discovery,"
-            + " against the number of balancers and the length of the list.",
+            + " depending on the number of balancers and the length of the list.",
     mixinStandardHelpOptions = true)
 final class ControlCommand implements Callable<Integer> {
 
--- a/src/main/java/loadbalancer/benchmark/PhaseRecorder.java
+++ b/src/main/java/loadbalancer/benchmark/PhaseRecorder.java
@@ -63,7 +63,10 @@
     this.out = out;
   }
 
-  /** Runs a phase and prints its point. Propagation times are those of changes in this phase. */
+  /**
+   * Runs a phase and prints its results as a {@link MeasuredPoint}. Propagation times are those of
+   * changes in this phase.
+   */
   void record(String phaseName, Phase phase) throws InterruptedException, IOException {
     resetPropagation();
     measure(phaseName, phase).print(out);
@@ -82,8 +85,8 @@
   }
 
   /**
-   * Runs a phase and prints its point. Propagation times include those of changes in the phase
-   * before it, the outage.
+   * Runs a phase and prints its results as a {@link MeasuredPoint}. Propagation times include those
+   * of changes in the phase before it, the outage.
    */
   void recordRecovery(String phaseName, Phase phase) throws InterruptedException, IOException {
     measure(phaseName, phase).print(out);
--- a/src/main/java/loadbalancer/benchmark/ProcessesCommand.java
+++ b/src/main/java/loadbalancer/benchmark/ProcessesCommand.java
@@ -21,8 +21,8 @@
 @Command(
     name = "processes",
     description =
-        "Measures start time, processor time and memory of real balancer processes, against the"
-            + " length of the list.",
+        "Measures start time, processor time and memory of real balancer processes, depending"
+            + " on the length of the endpoint list.",
     mixinStandardHelpOptions = true)
 final class ProcessesCommand implements Callable<Integer> {
 
--- a/src/main/java/loadbalancer/policy/EndpointSelector.java
+++ b/src/main/java/loadbalancer/policy/EndpointSelector.java
@@ -54,7 +54,10 @@
         : selected;
   }
 
-  /** Selects a warming endpoint that is due, otherwise one at random by weight; null if none. */
+  /**
+   * Selects the warming endpoint that {@link SlowStart#select} returns or, if it returns none, an
+   * endpoint at random by weight; null if no weight is above 0.
+   */
   private EndpointStatistics select(
       InFlightRequest request,
       List<EndpointStatistics> readyEndpoints,
--- a/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
+++ b/src/main/java/loadbalancer/policy/LatencyWeightedPolicy.java
@@ -149,7 +149,8 @@
 
   /**
    * Sends an attempt to the endpoint, with a timer for hedging it or else a timeout that may leave
-   * time for a retry. Also sets the timer that detects a late attempt, if these are monitored.
+   * time for a retry. In the tier where attempts are monitored for signs of overload, also sets a
+   * timer that expires when the attempt counts as one, {@link OverloadDetector#lateAfterMillis}.
    */
   private void send(InFlightRequest request, EndpointStatistics endpoint, double now) {
     double rejectedShareAtSend =
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -33,9 +33,9 @@
   private static final double COLLAPSE_BUDGET_SHARE = 0.3;
 
   /**
-   * Lower bound of the present capacity that the budgets are divided by: the capacity that the
-   * allowed endpoints have once warm, divided by this. The bound limits the budgets while all
-   * endpoints are warming up.
+   * The budgets are divided by the present capacity of the endpoints that the request may go to.
+   * For this capacity there is a lower bound: the capacity of the same endpoints once warm / this
+   * constant. The bound limits the budgets while all endpoints are warming up.
    */
   private static final double WARM_CAPACITY_DIVISOR = 2.0;
 
--- a/src/main/java/loadbalancer/proxy/eventloop/DescriptorBudget.java
+++ b/src/main/java/loadbalancer/proxy/eventloop/DescriptorBudget.java
@@ -55,8 +55,9 @@
   }
 
   /**
-   * Sets the action that closes one client connection that has been idle since before the given
-   * time in milliseconds, and returns whether it did.
+   * Sets the action that closes one client connection. Its argument is a time in milliseconds of
+   * the instance's clock: it closes only a connection that has been idle since before then. Its
+   * result is whether it closed one.
    */
   public void onEvictClient(DoublePredicate evict) {
     evictClient = evict;
--- a/src/main/java/loadbalancer/proxy/frontend/ClientRequestDecoder.java
+++ b/src/main/java/loadbalancer/proxy/frontend/ClientRequestDecoder.java
@@ -26,7 +26,7 @@
   private boolean partialRequest;
   private boolean discarding;
 
-  /** Bytes discarded since the last pause. */
+  /** Bytes of input discarded since reading last paused for {@link #DISCARD_PAUSE_MILLIS}. */
   private int discardedBytes;
 
   private long receivedBytes;
--- a/src/main/java/loadbalancer/simulation/ActionWriter.java
+++ b/src/main/java/loadbalancer/simulation/ActionWriter.java
@@ -19,16 +19,16 @@
   private static final int INITIAL_RECORD_BYTES = 1 << 14;
   private static final int INITIAL_TAIL_BYTES = 1 << 10;
 
-  /** Offset in the header of the number of bytes that follow it. */
+  /** Offset, in the header of a reply, of the number of bytes that follow the header. */
   private static final int HEADER_BODY_BYTES = 0;
 
-  /** Offset in the header of the number of records. */
+  /** Offset, in the header of a reply, of the number of records. */
   private static final int HEADER_RECORD_COUNT = 4;
 
-  /** Offset in every record of the instance number, after the one-byte action code. */
+  /** Offset, in every record, of the instance number; it follows the one-byte action code. */
   private static final int INSTANCE_NUMBER = 1;
 
-  /** Offset in a record of the action's first field. */
+  /** Offset, in a record, of the action's first field. */
   private static final int FIRST_FIELD = 5;
 
   // Offsets of the fields that follow one or two fields of the named types.
--- a/src/test/java/loadbalancer/ProjectLayoutTest.java
+++ b/src/test/java/loadbalancer/ProjectLayoutTest.java
@@ -114,7 +114,9 @@
             .matcher(architecturePage);
     int namedCount = 0;
     while (named.find()) {
-      assertTrue(sources.contains(named.group(1) + ".java"), named.group());
+      assertTrue(
+          sources.contains(named.group(1) + ".java"),
+          "docs/ARCHITECTURE.md names " + named.group() + ", which has no source file under src");
       namedCount++;
     }
     assertTrue(namedCount > 20, namedCount + " classes are named, more than 20 are expected");
--- a/src/test/java/loadbalancer/benchmark/BalancerFleetTest.java
+++ b/src/test/java/loadbalancer/benchmark/BalancerFleetTest.java
@@ -199,7 +199,8 @@
   }
 
   /**
-   * Replaces the first upstreams by new ones; returns the time at which discovery had the change.
+   * Replaces the first upstreams by new ones; returns the {@link System#nanoTime} just after
+   * discovery received the change.
    */
   private static long replaceUpstreams(
       FakeDiscoveryService discovery, List<EndpointEntry> entries) {
--- a/src/test/java/loadbalancer/policy/WarmUpBudgetTest.java
+++ b/src/test/java/loadbalancer/policy/WarmUpBudgetTest.java
@@ -114,7 +114,8 @@
     }
     // Time stands still at the start of the warm-up. The endpoint then has 0.2 of the capacity of a
     // warm one, out of a total of 9.2: 217 of the 10,000 attempts. Its budget is 0.9 of that, or
-    // 195.7. None of it may be lost while it accumulates the probability for its next attempt.
+    // 195.7. The selection probabilities taken from the budget are added up, and an attempt is sent
+    // each time their sum reaches 1; no part of the budget may be lost in this.
     assertTrue(
         toWarming >= 190 && toWarming <= 196,
         "attempts sent to the warming endpoint: " + toWarming);
